--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -15,7 +15,7 @@
 	"github.com/shelfshelf/shelfshelf/balance"
 )
 
-const here = shelfshelf.DataCentre("a")
+const local = shelfshelf.DataCentre("a")
 
 func engines(slots int, centres ...shelfshelf.DataCentre) ([]shelfshelf.Pool, []shelfshelf.Target) {
 	pools := []shelfshelf.Pool{{Name: "p", Kind: shelfshelf.KindEngine, Engine: &shelfshelf.EngineSpec{TokensPerEvent: 5}}}
@@ -28,7 +28,7 @@
 }
 
 func newBalancer(slots int, centres ...shelfshelf.DataCentre) *balance.Balancer {
-	b := &balance.Balancer{Clock: clockwork.NewRealClock(), DataCentre: here}
+	b := &balance.Balancer{Clock: clockwork.NewRealClock(), DataCentre: local}
 	b.SetTargets(engines(slots, centres...))
 	return b
 }
@@ -50,8 +50,8 @@
 	return lease
 }
 
-func TestPlacesAreNotOverfilled(t *testing.T) {
-	b := newBalancer(2, here, "b")
+func TestSlotsAreNotOverfilled(t *testing.T) {
+	b := newBalancer(2, local, "b")
 	counts := make(map[shelfshelf.TargetName]int)
 	for i := range 4 {
 		counts[acquire(t, b, need(fmt.Sprint(i), 0)).Target.Name]++
@@ -65,21 +65,20 @@
 	}
 }
 
-// What other instances and data centres have in flight takes places too, until
-// their word is too old.
-func TestOthersTakePlaces(t *testing.T) {
+// Reported loads of other instances and data centres take slots until the reports are too old.
+func TestReportedLoadsTakeSlots(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBalancer(2, here)
+		b := newBalancer(2, local)
 		load := []shelfshelf.TargetLoad{{Target: shelfshelf.KeyOfTarget("t0"), Requests: 1}}
 		b.Heard("other", load)
 		b.HeardCentre(shelfshelf.Digest{DataCentre: "b", Loads: load})
 		if _, err := b.Acquire(context.Background(), need("x", 0)); err == nil {
-			t.Error("the places of others were taken")
+			t.Error("a slot used by others was granted")
 		}
 		b.Heard("other", nil)
 		acquire(t, b, need("y", 0))
 		if _, err := b.Acquire(context.Background(), need("x", 0)); err == nil {
-			t.Error("the place of the other data centre was taken")
+			t.Error("a slot used by the other data centre was granted")
 		}
 		time.Sleep(2 * time.Second)
 		acquire(t, b, need("z", 0))
@@ -87,8 +86,8 @@
 }
 
 func TestLeavingAndAvoidedTargetsGetNothing(t *testing.T) {
-	b := newBalancer(4, here, here, here)
-	pools, targets := engines(4, here, here, here)
+	b := newBalancer(4, local, local, local)
+	pools, targets := engines(4, local, local, local)
 	targets[0].Leaving = true
 	b.SetTargets(pools, targets)
 	for i := range 4 {
@@ -100,10 +99,10 @@
 	}
 }
 
-// The line goes by customers' ranks, then tiers, then arrival.
-func TestLineGoesByRank(t *testing.T) {
+// The queue is ordered by the customer's rank, then by tier, then by arrival.
+func TestQueueIsOrderedByRank(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBalancer(1, here)
+		b := newBalancer(1, local)
 		held := acquire(t, b, need("held", 0))
 		order := make(chan string, 10)
 		for i, c := range []struct {
@@ -134,17 +133,17 @@
 	})
 }
 
-// The last place of an engine is left to the highest tier, and to requests that a
-// target has begun already.
-func TestHighestTierHasAPlaceOfItsOwn(t *testing.T) {
-	b := newBalancer(4, here)
+// The last slot of an engine is reserved for the highest tier and for requests that a target has
+// already begun.
+func TestLastSlotIsReservedForHighestTier(t *testing.T) {
+	b := newBalancer(4, local)
 	lower := need("lower", 0)
 	lower.Tier = 1
 	for range 3 {
 		acquire(t, b, lower)
 	}
 	if _, err := b.Acquire(context.Background(), lower); err == nil {
-		t.Error("a lower tier took the last place")
+		t.Error("a lower tier got the last slot")
 	}
 	begun := lower
 	begun.Begun = true
@@ -152,11 +151,11 @@
 	acquire(t, b, need("highest", 0))
 }
 
-// A request that finds no place is refused when its time to wait is over, not
-// later, and leaves the line when its caller goes.
+// A request without a slot is refused exactly when its time to wait is over, and leaves the queue
+// when its caller disconnects.
 func TestWaitingEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBalancer(1, here)
+		b := newBalancer(1, local)
 		acquire(t, b, need("held", 0))
 		began := time.Now()
 		var refusal *balance.Refusal
@@ -172,29 +171,29 @@
 			t.Fatal(err)
 		}
 		if b.Waiting() != 0 {
-			t.Errorf("%d still wait", b.Waiting())
+			t.Errorf("%d requests still wait", b.Waiting())
 		}
 	})
 }
 
-// A target that can't be reached rests, longer each time, and comes back.
-func TestUnreachableTargetsRest(t *testing.T) {
+// An unreachable target gets no requests during the backoff, and gets some again afterwards.
+func TestUnreachableTargetsAreBackedOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBalancer(4, here)
+		b := newBalancer(4, local)
 		lease := acquire(t, b, need("a", 0))
 		lease.Release(balance.Result{Failed: true, Unreachable: true})
 		if _, err := b.Acquire(context.Background(), need("b", 0)); err == nil {
-			t.Error("a target that can't be reached got a request at once")
+			t.Error("an unreachable target got a request at once")
 		}
 		time.Sleep(300 * time.Millisecond)
 		acquire(t, b, need("c", 0))
 	})
 }
 
-// Among equals, the one that fails gets less, and the faster one more.
+// Among otherwise equal targets, a failing one gets fewer requests, and a faster one more.
 func TestSlowAndFailingTargetsGetLess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBalancer(100, here, here, here)
+		b := newBalancer(100, local, local, local)
 		counts := make(map[shelfshelf.TargetName]int)
 		for i := range 300 {
 			n := need(fmt.Sprint(i), 0)
@@ -221,12 +220,12 @@
 	})
 }
 
-// A plain service gets more calls than it works on at once if their turn comes within the
-// goal, and no more than its places if it doesn't.
+// A plain service gets more calls than it has slots if the additional ones should start within the
+// goal, and no more calls than slots otherwise.
 func TestPlainServicesQueueWithinTheGoal(t *testing.T) {
 	for goal, want := range map[time.Duration]int{20 * time.Millisecond: 2, 180 * time.Millisecond: 4, time.Minute: 6} {
-		b := &balance.Balancer{Clock: clockwork.NewRealClock(), DataCentre: here}
-		pools, targets := engines(2, here)
+		b := &balance.Balancer{Clock: clockwork.NewRealClock(), DataCentre: local}
+		pools, targets := engines(2, local)
 		pools[0].Kind, pools[0].Engine = shelfshelf.KindService, nil
 		b.SetTargets(pools, targets)
 		got := 0
@@ -238,14 +237,14 @@
 			}
 		}
 		if got != want {
-			t.Errorf("goal %v: %d calls, not %d", goal, got, want)
+			t.Errorf("goal %v: got %d calls, want %d", goal, got, want)
 		}
 	}
 }
 
-// Requests stay in their data centre while it has room.
+// Requests stay in their data centre while it has free slots.
 func TestRequestsStayInTheirDataCentre(t *testing.T) {
-	b := newBalancer(3, "b", here)
+	b := newBalancer(3, "b", local)
 	for i := range 3 {
 		if got := acquire(t, b, need(fmt.Sprint(i), 0)).Target.Name; got != "t1" {
 			t.Errorf("%s", got)
@@ -256,12 +255,12 @@
 	}
 }
 
-// Whatever comes, places are counted right: never more than there are, and none
-// lost.
-func TestPlacesAreCountedRight(t *testing.T) {
+// In any sequence of acquires and releases, the slots granted never exceed the existing ones, and
+// no slot is lost.
+func TestSlotsAreCountedRight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 4).Draw(t, "slots")
-		b := newBalancer(slots, here, here, "b")
+		b := newBalancer(slots, local, local, "b")
 		var held []*balance.Lease
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "acquire") || len(held) == 0 {
@@ -305,44 +304,44 @@
 	}
 }
 
-// A place that is given back unused tells nothing of its target: a target that is
-// known to be fast does not look faster still, and its failures stay counted.
-func TestUnusedPlacesTeachNothing(t *testing.T) {
+// A cancelled lease yields no observation of its target: a target known to be fast does not look
+// faster, and its failures stay counted.
+func TestCancelledLeasesAreNotObserved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBalancer(4, here)
-		work := func() time.Duration {
+		b := newBalancer(4, local)
+		expectedTime := func() time.Duration {
 			n := need("x", 0)
 			n.PromptTokens = 0
 			lease := acquire(t, b, n)
 			defer lease.Cancel()
 			return lease.Expected
 		}
-		before := work()
+		before := expectedTime()
 		for range 20 {
 			n := need("y", 0)
 			n.PromptTokens = 0
 			acquire(t, b, n).Cancel()
 		}
-		if after := work(); after != before {
+		if after := expectedTime(); after != before {
 			t.Errorf("expected %v before and %v after", before, after)
 		}
 		if left := len(b.Own()); left != 0 {
-			t.Errorf("%d targets with places taken", left)
+			t.Errorf("%d targets have slots in use", left)
 		}
 	})
 }
 
-// A word replaces the one before it whole, also where it tells of unknown targets, and
-// comes before any target is known.
-func TestWordsReplaceEachOther(t *testing.T) {
-	b := &balance.Balancer{Clock: clockwork.NewRealClock(), DataCentre: here}
+// A load report replaces the previous one completely, also if it contains unknown targets. A report
+// may arrive before any target is known.
+func TestReportsReplaceEachOther(t *testing.T) {
+	b := &balance.Balancer{Clock: clockwork.NewRealClock(), DataCentre: local}
 	one := func(name shelfshelf.TargetName) shelfshelf.TargetLoad {
 		return shelfshelf.TargetLoad{Target: shelfshelf.KeyOfTarget(name), Requests: 1}
 	}
 	b.Heard("early", []shelfshelf.TargetLoad{one("t0")})
 	b.HeardCentre(shelfshelf.Digest{DataCentre: "b", Loads: []shelfshelf.TargetLoad{one("t0")}})
-	b.SetTargets(engines(4, here, here))
-	told := func() int {
+	b.SetTargets(engines(4, local, local))
+	reported := func() int {
 		_, sum, _ := b.Capacity(shelfshelf.KeyOfTarget("t1"))
 		return sum
 	}
@@ -353,19 +352,18 @@
 	} {
 		b.Heard("other", loads)
 		b.HeardCentre(shelfshelf.Digest{DataCentre: "b", Loads: loads})
-		if got := told(); got != []int{0, 2, 0}[want] {
-			t.Errorf("word %d: %d requests at t1", want, got)
+		if got := reported(); got != []int{0, 2, 0}[want] {
+			t.Errorf("report %d: %d requests at t1", want, got)
 		}
 	}
 	b.Heard("other", []shelfshelf.TargetLoad{one("t1")})
-	b.SetTargets(engines(4, here, here))
-	if got := told(); got != 1 {
+	b.SetTargets(engines(4, local, local))
+	if got := reported(); got != 1 {
 		t.Errorf("%d requests after a change of targets", got)
 	}
 }
 
-// BenchmarkHeard takes the status of one of 60 instances, on 3,000 targets of which it
-// uses 20.
+// BenchmarkHeard handles the status of one of 60 instances that uses 20 of 3,000 targets.
 func BenchmarkHeard(b *testing.B) {
 	const targets, used = 3000, 20
 	centres := make([]shelfshelf.DataCentre, targets)
@@ -379,11 +377,11 @@
 	}
 }
 
-// A digest is told on while it is taken: what changed it in place made others hear of one
-// target's load twice and of another's not at all.
-func TestDigestsStayAsTheyAre(t *testing.T) {
+// A digest is forwarded while it is handled. Handling once modified it in place, so that other
+// instances got one target's load twice and another's not at all.
+func TestDigestsAreNotModified(t *testing.T) {
 	t.Parallel()
-	b := newBalancer(2, here)
+	b := newBalancer(2, local)
 	digest := shelfshelf.Digest{DataCentre: "b", Loads: []shelfshelf.TargetLoad{
 		{Target: shelfshelf.KeyOfTarget("unknown here"), Requests: 5}, {Target: shelfshelf.KeyOfTarget("t0"), Requests: 1},
 	}}
--- a/balance/owners_test.go
+++ b/balance/owners_test.go
@@ -13,198 +13,199 @@
 	"github.com/shelfshelf/shelfshelf/balance"
 )
 
-// owners answers asks as the test says.
-type owners struct {
+// fakeOwners answers asks as the test specifies.
+type fakeOwners struct {
 	mu      sync.Mutex
 	answers map[shelfshelf.TargetKey]shelfshelf.PlaceOutcome
 	asked   []shelfshelf.TargetKey
-	// stays are what the asks said of how long they keep a place.
-	stays   []time.Duration
-	waiting map[shelfshelf.TargetKey]func()
-	// stray grants another place to the ask that came last.
-	stray func(shelfshelf.PlaceID)
-	open  map[shelfshelf.PlaceID]bool
-	last  shelfshelf.PlaceID
-	// rest is how long engines rest whose owners say so.
-	rest time.Duration
-	// silence is how long an ask takes that nobody answers.
-	silence time.Duration
+	// holdTimes are the hold times given in the asks.
+	holdTimes []time.Duration
+	grants    map[shelfshelf.TargetKey]func()
+	// grantOther sends another grant to the latest ask.
+	grantOther func(shelfshelf.PlaceID)
+	open       map[shelfshelf.PlaceID]bool
+	lastID     shelfshelf.PlaceID
+	// backoff is the backoff that owners report for unavailable engines.
+	backoff time.Duration
+	// timeout is how long an ask takes that nobody answers.
+	timeout time.Duration
 }
 
-func newOwners() *owners {
-	return &owners{
+func newFakeOwners() *fakeOwners {
+	return &fakeOwners{
 		answers: make(map[shelfshelf.TargetKey]shelfshelf.PlaceOutcome),
-		waiting: make(map[shelfshelf.TargetKey]func()),
+		grants:  make(map[shelfshelf.TargetKey]func()),
 		open:    make(map[shelfshelf.PlaceID]bool),
 	}
 }
 
-// newOwned returns a balancer whose engines' places owners give out, and those owners.
-func newOwned(slots int, centres ...shelfshelf.DataCentre) (*balance.Balancer, *owners) {
+// newBalancerWithOwners returns a balancer whose engines' slots are granted by fake owners, and
+// these owners.
+func newBalancerWithOwners(slots int, centres ...shelfshelf.DataCentre) (*balance.Balancer, *fakeOwners) {
 	b := newBalancer(slots, centres...)
-	o := newOwners()
+	o := newFakeOwners()
 	b.Places = o
 	return b, o
 }
 
-func (o *owners) Ask(_ context.Context, ask shelfshelf.PlaceAsk, granted chan<- shelfshelf.PlaceID) shelfshelf.PlaceAnswer {
+func (o *fakeOwners) Ask(_ context.Context, ask shelfshelf.PlaceAsk, granted chan<- shelfshelf.PlaceID) shelfshelf.PlaceAnswer {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.asked = append(o.asked, ask.Target)
-	o.stays = append(o.stays, ask.Stay)
+	o.holdTimes = append(o.holdTimes, ask.Stay)
 	outcome := o.answers[ask.Target]
 	if outcome == shelfshelf.PlaceUnknown {
-		time.Sleep(o.silence)
+		time.Sleep(o.timeout)
 		return shelfshelf.PlaceAnswer{}
 	}
-	o.last++
-	id := o.last
+	o.lastID++
+	id := o.lastID
 	o.open[id] = true
-	o.stray = func(other shelfshelf.PlaceID) { granted <- other }
-	o.waiting[ask.Target] = func() { granted <- id }
-	return shelfshelf.PlaceAnswer{ID: id, Outcome: outcome, Requests: 1, Rest: o.rest}
+	o.grantOther = func(other shelfshelf.PlaceID) { granted <- other }
+	o.grants[ask.Target] = func() { granted <- id }
+	return shelfshelf.PlaceAnswer{ID: id, Outcome: outcome, Requests: 1, Rest: o.backoff}
 }
 
-func (o *owners) Took(shelfshelf.TargetKey, shelfshelf.DataCentre) shelfshelf.PlaceID {
+func (o *fakeOwners) Took(shelfshelf.TargetKey, shelfshelf.DataCentre) shelfshelf.PlaceID {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.last++
-	o.open[o.last] = true
-	return o.last
+	o.lastID++
+	o.open[o.lastID] = true
+	return o.lastID
 }
 
-func (o *owners) Give(id shelfshelf.PlaceID, _ bool) {
+func (o *fakeOwners) Give(id shelfshelf.PlaceID, _ bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.open, id)
 }
 
-func (o *owners) Leave(id shelfshelf.PlaceID, _ bool) {
+func (o *fakeOwners) Leave(id shelfshelf.PlaceID, _ bool) {
 	o.Give(id, false)
 }
 
-// serve gives the ask that waits at an engine its place.
-func (o *owners) serve(target shelfshelf.TargetName) {
+// grantQueued grants the ask that is queued at an engine its slot.
+func (o *fakeOwners) grantQueued(target shelfshelf.TargetName) {
 	o.mu.Lock()
-	grant := o.waiting[shelfshelf.KeyOfTarget(target)]
+	grant := o.grants[shelfshelf.KeyOfTarget(target)]
 	o.mu.Unlock()
 	grant()
 }
 
-// serveStray grants the latest ask a place that it did not ask for.
-func (o *owners) serveStray(id shelfshelf.PlaceID) {
+// grantUnrequested sends the latest ask a grant that it didn't request.
+func (o *fakeOwners) grantUnrequested(id shelfshelf.PlaceID) {
 	o.mu.Lock()
-	grant := o.stray
+	grant := o.grantOther
 	o.mu.Unlock()
 	grant(id)
 }
 
-// count returns how many places are held or asked for.
-func (o *owners) count() int {
+// countOpen returns how many slots are held or asked for.
+func (o *fakeOwners) countOpen() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return len(o.open)
 }
 
-func (o *owners) set(target string, outcome shelfshelf.PlaceOutcome) {
+func (o *fakeOwners) setOutcome(target string, outcome shelfshelf.PlaceOutcome) {
 	o.answers[shelfshelf.KeyOfTarget(shelfshelf.TargetName(target))] = outcome
 }
 
-// An ask tells how long the request will keep its place, by its prompt and its answer.
-func TestAsksTellTheirStay(t *testing.T) {
-	b, o := newOwned(4, here)
-	o.set("t0", shelfshelf.PlaceGranted)
+// An ask contains the expected hold time, computed from the sizes of the prompt and the answer.
+func TestAsksIncludeHoldTime(t *testing.T) {
+	b, o := newBalancerWithOwners(4, local)
+	o.setOutcome("t0", shelfshelf.PlaceGranted)
 	for _, sizes := range [][2]int{{100, 10}, {5000, 10}, {100, 1000}} {
 		n := need("x", time.Second)
 		n.PromptTokens, n.OutputTokens = sizes[0], sizes[1]
 		acquire(t, b, n).Cancel()
 	}
-	if len(o.stays) != 3 || o.stays[0] <= 0 || o.stays[1] <= o.stays[0] || o.stays[2] <= o.stays[1] {
-		t.Errorf("%v", o.stays)
+	if len(o.holdTimes) != 3 || o.holdTimes[0] <= 0 || o.holdTimes[1] <= o.holdTimes[0] || o.holdTimes[2] <= o.holdTimes[1] {
+		t.Errorf("%v", o.holdTimes)
 	}
 }
 
-// A request goes where an owner gives it a place, stands in the lines of the others
-// until then, and leaves them.
-func TestOwnersDecide(t *testing.T) {
+// A request waits in the queues of all owners until one grants a slot. It uses that slot and leaves
+// the other queues.
+func TestOwnersGrantSlots(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, o := newOwned(4, here, here, here)
+		b, o := newBalancerWithOwners(4, local, local, local)
 		for _, target := range []string{"t0", "t1", "t2"} {
-			o.set(target, shelfshelf.PlaceWaits)
+			o.setOutcome(target, shelfshelf.PlaceWaits)
 		}
-		time.AfterFunc(50*time.Millisecond, func() { o.serve("t1") })
+		time.AfterFunc(50*time.Millisecond, func() { o.grantQueued("t1") })
 		began := time.Now()
 		lease := acquire(t, b, need("x", time.Second))
 		if lease.Target.Name != "t1" || time.Since(began) != 50*time.Millisecond {
 			t.Errorf("%s after %v", lease.Target.Name, time.Since(began))
 		}
-		if o.count() != 1 {
-			t.Errorf("%d places and lines are open", o.count())
+		if o.countOpen() != 1 {
+			t.Errorf("%d slots and queue positions are open", o.countOpen())
 		}
 		lease.Release(balance.Result{})
-		if o.count() != 0 {
-			t.Error("the place was not given back")
+		if o.countOpen() != 0 {
+			t.Error("the slot was not returned")
 		}
 		var refusal *balance.Refusal
 		if _, err := b.Acquire(context.Background(), need("y", 100*time.Millisecond)); !errors.As(err, &refusal) || refusal.RetryAfter <= 0 {
 			t.Errorf("%v", err)
 		}
-		if o.count() != 0 {
-			t.Errorf("%d lines are left", o.count())
+		if o.countOpen() != 0 {
+			t.Errorf("%d queue positions are left", o.countOpen())
 		}
 	})
 }
 
-// Without any owner's word, the instance decides by what it knows, and tells afterwards
-// what it took.
-func TestWithoutOwners(t *testing.T) {
-	b, o := newOwned(2, here)
+// Without an answer from any owner, the instance decides by its own view of the load and reports
+// the slots that it took.
+func TestInstanceDecidesWithoutOwners(t *testing.T) {
+	b, o := newBalancerWithOwners(2, local)
 	for i := range 2 {
 		if lease := acquire(t, b, need(fmt.Sprint(i), 0)); !lease.Alone || lease.Asked != 1 {
 			t.Errorf("alone %v after %d asks", lease.Alone, lease.Asked)
 		}
 	}
-	if o.count() != 2 || len(o.asked) != 2 {
-		t.Errorf("%d places after %d asks", o.count(), len(o.asked))
+	if o.countOpen() != 2 || len(o.asked) != 2 {
+		t.Errorf("%d slots after %d asks", o.countOpen(), len(o.asked))
 	}
 	if _, err := b.Acquire(context.Background(), need("x", 0)); err == nil {
-		t.Error("a third place was found")
+		t.Error("a third slot was granted")
 	}
 }
 
-// A place that is given at an engine that has become unfit is given back.
-func TestPlacesAtLeavingEnginesAreGivenBack(t *testing.T) {
+// A slot granted at an engine that has begun to leave is returned.
+func TestSlotsAtLeavingEnginesAreReturned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, o := newOwned(4, here)
-		o.set("t0", shelfshelf.PlaceWaits)
+		b, o := newBalancerWithOwners(4, local)
+		o.setOutcome("t0", shelfshelf.PlaceWaits)
 		time.AfterFunc(10*time.Millisecond, func() {
-			pools, targets := engines(4, here)
+			pools, targets := engines(4, local)
 			targets[0].Leaving = true
 			b.SetTargets(pools, targets)
-			o.serve("t0")
+			o.grantQueued("t0")
 		})
 		if _, err := b.Acquire(context.Background(), need("x", 50*time.Millisecond)); err == nil {
 			t.Error("a leaving engine was used")
 		}
-		if o.count() != 0 {
-			t.Errorf("%d places are open", o.count())
+		if o.countOpen() != 0 {
+			t.Errorf("%d slots are open", o.countOpen())
 		}
 	})
 }
 
-// When a higher tier is refused, a lower one is not served a larger share, though it
-// finds places more easily.
+// When requests of a higher tier are refused, a lower tier is not served a larger share, even if it
+// finds slots more easily.
 func TestLowerTiersAreNotServedMore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, o := newOwned(4, here)
+		b, o := newBalancerWithOwners(4, local)
 		served := make(map[shelfshelf.Tier]int)
 		const rounds = 4000
 		for i := range rounds {
 			for tier := range shelfshelf.Tier(3) {
-				// Two of five requests of the middle tier find no place; the others always do.
-				o.set("t0", shelfshelf.PlaceGranted)
+				// Two of five requests of the middle tier find no slot; the others always do.
+				o.setOutcome("t0", shelfshelf.PlaceGranted)
 				if tier == 1 && i%5 < 2 {
-					o.set("t0", shelfshelf.PlaceWaits)
+					o.setOutcome("t0", shelfshelf.PlaceWaits)
 				}
 				n := need(fmt.Sprint(i), 0)
 				n.Tier = tier
@@ -224,20 +225,19 @@
 	})
 }
 
-// One request of a higher tier that found no place by chance costs the lower ones
-// nothing.
+// A single request of a higher tier that found no slot by chance doesn't affect lower tiers.
 func TestOneRefusalIsNoShortage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, o := newOwned(4, here)
+		b, o := newBalancerWithOwners(4, local)
 		for i := range 400 {
-			o.set("t0", shelfshelf.PlaceGranted)
+			o.setOutcome("t0", shelfshelf.PlaceGranted)
 			if i%50 == 0 {
-				o.set("t0", shelfshelf.PlaceWaits)
+				o.setOutcome("t0", shelfshelf.PlaceWaits)
 			}
 			if lease, err := b.Acquire(context.Background(), need(fmt.Sprint(i), 0)); err == nil {
 				lease.Release(balance.Result{})
 			}
-			o.set("t0", shelfshelf.PlaceGranted)
+			o.setOutcome("t0", shelfshelf.PlaceGranted)
 			low := need(fmt.Sprint("low", i), 0)
 			low.Tier = 1
 			lease, err := b.Acquire(context.Background(), low)
@@ -250,13 +250,13 @@
 	})
 }
 
-// A grant of an ask that was given up meanwhile is no place.
-func TestGrantsOfAsksGivenUpAreIgnored(t *testing.T) {
+// A grant of an abandoned ask is ignored.
+func TestGrantsOfAbandonedAsksAreIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, o := newOwned(4, here, here)
-		o.set("t0", shelfshelf.PlaceWaits)
-		o.set("t1", shelfshelf.PlaceWaits)
-		time.AfterFunc(10*time.Millisecond, func() { o.serveStray(99) })
+		b, o := newBalancerWithOwners(4, local, local)
+		o.setOutcome("t0", shelfshelf.PlaceWaits)
+		o.setOutcome("t1", shelfshelf.PlaceWaits)
+		time.AfterFunc(10*time.Millisecond, func() { o.grantUnrequested(99) })
 		var refusal *balance.Refusal
 		if _, err := b.Acquire(context.Background(), need("x", 50*time.Millisecond)); !errors.As(err, &refusal) {
 			t.Errorf("%v", err)
@@ -264,21 +264,21 @@
 	})
 }
 
-// Owners that do not answer cost a request no more than the time that it may wait: it
-// is refused early, or goes where this instance knows a place.
-func TestSilentOwnersHoldNothingUp(t *testing.T) {
+// Owners that don't answer cost a request no more than its time to wait: it is refused soon after,
+// or goes to a target with a free slot known to this instance.
+func TestSilentOwnersDontDelayRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		centres := []shelfshelf.DataCentre{here, here, here, here, here, here, here, here}
+		centres := []shelfshelf.DataCentre{local, local, local, local, local, local, local, local}
 		b := newBalancer(1, centres...)
 		for i := range centres {
 			acquire(t, b, need(fmt.Sprint("full", i), 0))
 		}
-		o := newOwners()
-		o.silence = 80 * time.Millisecond
+		o := newFakeOwners()
+		o.timeout = 80 * time.Millisecond
 		b.Places = o
 		began := time.Now()
 		if _, err := b.Acquire(context.Background(), need("x", 170*time.Millisecond)); err == nil {
-			t.Error("a place was found")
+			t.Error("a slot was granted")
 		}
 		if took := time.Since(began); took > 250*time.Millisecond {
 			t.Errorf("refused after %v", took)
@@ -286,74 +286,75 @@
 	})
 }
 
-// A place whose owner answers late is taken when it comes; the other asks are given up.
-func TestLatePlacesAreTaken(t *testing.T) {
+// The grant of an owner that answers late is accepted, and the other asks are given up.
+func TestLateGrantsAreAccepted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, o := newOwned(4, here, here)
-		o.set("t0", shelfshelf.PlaceUnanswered)
-		o.set("t1", shelfshelf.PlaceWaits)
-		time.AfterFunc(50*time.Millisecond, func() { o.serve("t0") })
+		b, o := newBalancerWithOwners(4, local, local)
+		o.setOutcome("t0", shelfshelf.PlaceUnanswered)
+		o.setOutcome("t1", shelfshelf.PlaceWaits)
+		time.AfterFunc(50*time.Millisecond, func() { o.grantQueued("t0") })
 		began := time.Now()
 		lease := acquire(t, b, need("x", time.Second))
 		if lease.Target.Name != "t0" || time.Since(began) != 50*time.Millisecond {
 			t.Errorf("%s after %v", lease.Target.Name, time.Since(began))
 		}
-		if open := o.count(); open != 1 {
-			t.Errorf("%d places are held or asked for", open)
+		if open := o.countOpen(); open != 1 {
+			t.Errorf("%d slots are held or asked for", open)
 		}
 	})
 }
 
-// Where no owner has answered, what the instance knows itself decides, and the asks are
+// If no owner has answered, the instance decides by its own view of the load, and the asks are
 // given up.
-func TestUnansweredAsksDecideNothing(t *testing.T) {
+func TestUnansweredAsksFallBackToLocalDecision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, o := newOwned(4, here, here)
-		o.set("t0", shelfshelf.PlaceUnanswered)
-		o.set("t1", shelfshelf.PlaceUnanswered)
+		b, o := newBalancerWithOwners(4, local, local)
+		o.setOutcome("t0", shelfshelf.PlaceUnanswered)
+		o.setOutcome("t1", shelfshelf.PlaceUnanswered)
 		lease := acquire(t, b, need("x", time.Second))
 		if !lease.Alone || lease.Asked != 2 {
 			t.Errorf("alone %v after %d asks", lease.Alone, lease.Asked)
 		}
-		if open := o.count(); open != 1 {
-			t.Errorf("%d places are held or asked for", open)
+		if open := o.countOpen(); open != 1 {
+			t.Errorf("%d slots are held or asked for", open)
 		}
 	})
 }
 
-// Engines whose owners say that they rest don't count against the engines that a request
-// may ask, and are not asked again until they have rested.
-func TestRestingEnginesAreSkipped(t *testing.T) {
+// Engines that their owners report as unavailable don't count towards the number of engines that a
+// request may ask, and are not asked again until their backoff ends.
+func TestUnavailableEnginesAreSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const resting = 11
-		o := newOwners()
-		o.rest = 300 * time.Millisecond
-		centres := make([]shelfshelf.DataCentre, resting+1)
+		const unavailable = 11
+		o := newFakeOwners()
+		o.backoff = 300 * time.Millisecond
+		centres := make([]shelfshelf.DataCentre, unavailable+1)
 		for i := range centres {
-			// The one that works looks worse than all others: it is elsewhere.
-			centres[i] = here
-			o.set(fmt.Sprint("t", i), shelfshelf.PlaceRests)
+			// The engine that works looks worse than all others, since it is in another data
+			// centre.
+			centres[i] = local
+			o.setOutcome(fmt.Sprint("t", i), shelfshelf.PlaceRests)
 		}
-		centres[resting] = "b"
-		o.set(fmt.Sprint("t", resting), shelfshelf.PlaceGranted)
+		centres[unavailable] = "b"
+		o.setOutcome(fmt.Sprint("t", unavailable), shelfshelf.PlaceGranted)
 		b := newBalancer(4, centres...)
 		b.Places = o
 		for i := range 2 {
 			lease := acquire(t, b, need(fmt.Sprint(i), time.Second))
-			if want := fmt.Sprint("t", resting); string(lease.Target.Name) != want {
-				t.Fatalf("got %s, not %s", lease.Target.Name, want)
+			if want := fmt.Sprint("t", unavailable); string(lease.Target.Name) != want {
+				t.Fatalf("got %s, want %s", lease.Target.Name, want)
 			}
 		}
-		if len(o.asked) != resting+2 {
+		if len(o.asked) != unavailable+2 {
 			t.Errorf("%d asks", len(o.asked))
 		}
 	})
 }
 
-// Where every target has failed a request or is leaving, waiting is of no use.
-func TestHopelessRequestsDontWait(t *testing.T) {
+// If every target has failed the request or is leaving, the request is refused without waiting.
+func TestUnservableRequestsDontWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, _ := newOwned(4, here, here)
+		b, _ := newBalancerWithOwners(4, local, local)
 		n := need("r", time.Second)
 		n.Avoid = []shelfshelf.TargetName{"t0", "t1"}
 		began := time.Now()
@@ -365,18 +366,18 @@
 	})
 }
 
-// fleetOf returns a balancer that knows so many engines whose tokens take 1.4, 4 and 7 ms,
-// all full, and their owners.
-func fleetOf(count int) (*balance.Balancer, *owners) {
+// newFullEngines returns a balancer with the given number of engines, all full, whose times per
+// token are 1.4, 4 and 7 ms in turn, and their owners.
+func newFullEngines(count int) (*balance.Balancer, *fakeOwners) {
 	centres := make([]shelfshelf.DataCentre, count)
 	for i := range centres {
-		centres[i] = here
+		centres[i] = local
 	}
-	b, o := newOwned(8, centres...)
+	b, o := newBalancerWithOwners(8, centres...)
 	steps := []time.Duration{1400 * time.Microsecond, 4 * time.Millisecond, 7 * time.Millisecond}
 	for i := range count {
 		name := fmt.Sprint("t", i)
-		o.set(name, shelfshelf.PlaceWaits)
+		o.setOutcome(name, shelfshelf.PlaceWaits)
 		b.HeardSpeeds([]shelfshelf.TargetSpeed{{
 			Target: shelfshelf.KeyOfTarget(shelfshelf.TargetName(name)), PrefillRate: 50, Step: steps[i%len(steps)],
 		}})
@@ -384,13 +385,13 @@
 	return b, o
 }
 
-// Long answers ask as many of the slower engines as short ones do. They asked the fastest
-// eight of 160 alone, where all others ask too: on a day of high load 0.29 of the longest
-// tenth were served, of all 0.75.
+// Long answers ask slower engines about as often as short ones do. They once asked only the fastest
+// eight of 160 engines, which all other requests ask too: on a high-load day 0.29 of the longest
+// tenth were served, against 0.75 of all requests.
 func TestLongAnswersAskAllKindsOfEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := func(tokens int) float64 {
-			b, o := fleetOf(60)
+			b, o := newFullEngines(60)
 			n := need("r", 50*time.Millisecond)
 			n.OutputTokens = tokens
 			n.Deadline = time.Now().Add(12 * time.Second)
@@ -407,15 +408,15 @@
 		}
 		short, long := slow(50), slow(1000)
 		if long < short-0.3 || long == 0 {
-			t.Errorf("%.2f of the engines that a long answer asks are slower ones, %.2f of a short one's", long, short)
+			t.Errorf("share of slower engines asked: %.2f for a long answer, %.2f for a short one", long, short)
 		}
 	})
 }
 
-// An answer that would not end in time asks the engines on which it would.
+// An answer that slow engines would finish too late asks only engines that finish it in time.
 func TestAnswersAskEnginesThatEndInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, o := fleetOf(60)
+		b, o := newFullEngines(60)
 		n := need("r", 50*time.Millisecond)
 		n.OutputTokens = 3000
 		n.Deadline = time.Now().Add(12 * time.Second)
@@ -423,7 +424,7 @@
 		for _, key := range o.asked {
 			for i := range 60 {
 				if key == shelfshelf.KeyOfTarget(shelfshelf.TargetName(fmt.Sprint("t", i))) && i%3 > 0 {
-					t.Errorf("asks t%d, where it would take 12 s or more", i)
+					t.Errorf("asked t%d, where it would take 12 s or more", i)
 				}
 			}
 		}
