--- a/balance/backoff.go
+++ b/balance/backoff.go
@@ -7,19 +7,19 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-// longestRestRetry bounds what a caller is told where all targets want a long rest: others may
-// be added meanwhile.
-const longestRestRetry = 30 * time.Second
+// maxRequestedBackoff bounds the retry delay given to a caller if all targets have requested a long
+// backoff: other targets may be added in the meantime.
+const maxRequestedBackoff = 30 * time.Second
 
-// restsUntil returns when the first of the targets that a request may go to has had the rest that
-// it asked this instance for; zero if one of them wants none now.
-func (p *pool) restsUntil(need Need, now time.Time) time.Time {
+// requestedBackoffEnd returns when the first requested backoff ends among the targets that may
+// serve the request; zero if one of these targets requests none at the moment.
+func (p *pool) requestedBackoffEnd(need Need, now time.Time) time.Time {
 	var first time.Time
 	for _, t := range p.targets {
-		if !t.fits(need) {
+		if !t.eligible(need) {
 			continue
 		}
-		until := t.said.RestUntil
+		until := t.announcement.RestUntil
 		if !until.After(now) {
 			return time.Time{}
 		}
@@ -30,49 +30,49 @@
 	return first
 }
 
-// refuseForRest refuses a request at once where all targets that it may go to want rest for longer
-// than it can wait; nil where it may be served.
-func (b *Balancer) refuseForRest(need Need) *Refusal {
-	if !b.restsUntil(need).After(need.WaitUntil) {
+// refuseForBackoff refuses a request at once if all targets that may serve it have requested a
+// backoff for longer than it can wait; nil otherwise.
+func (b *Balancer) refuseForBackoff(need Need) *Refusal {
+	if !b.requestedBackoffEnd(need).After(need.WaitUntil) {
 		return nil
 	}
-	return &Refusal{Reason: shelfshelf.RefusedRest, RetryAfter: b.comeBack(need)}
+	return &Refusal{Reason: shelfshelf.RefusedRest, RetryAfter: b.refusalRetryAfter(need)}
 }
 
-// comeBack is when a refused caller may come back: not before one of the targets has had its rest
-// where all of them want some.
-func (b *Balancer) comeBack(need Need) time.Duration {
+// refusalRetryAfter returns the retry delay for a refused caller. If all targets have requested a
+// backoff, it is not before the first of these ends.
+func (b *Balancer) refusalRetryAfter(need Need) time.Duration {
 	if left := b.RestLeft(need); left > 0 {
 		return left
 	}
 	return retryAfter(need)
 }
 
-// RestLeft is how long a refused caller should stay away since all targets want rest; 0 if one of
-// them wants none now. Those that have failed the request count too: who comes back comes with
-// another one.
+// RestLeft returns the retry delay for a refused caller if all targets have requested a backoff; 0
+// if one of them requests none at the moment. Targets in Avoid count too, since the caller will
+// return with a new request.
 func (b *Balancer) RestLeft(need Need) time.Duration {
 	need.Avoid = nil
-	until := b.restsUntil(need)
+	until := b.requestedBackoffEnd(need)
 	if until.IsZero() {
 		return 0
 	}
-	return afterRest(need, until.Sub(b.Clock.Now()))
+	return spreadRetryAfter(need, until.Sub(b.Clock.Now()))
 }
 
-// restsUntil asks the pool of a request.
-func (b *Balancer) restsUntil(need Need) time.Time {
+// requestedBackoffEnd looks up the pool of the request.
+func (b *Balancer) requestedBackoffEnd(need Need) time.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if p := b.pools[need.Pool]; p != nil {
-		return p.restsUntil(need, b.Clock.Now())
+		return p.requestedBackoffEnd(need, b.Clock.Now())
 	}
 	return time.Time{}
 }
 
-// afterRest is when callers may come back who wait for a rest to end; they come spread over the
-// goal after it, since whoever asked for rest has little room.
-func afterRest(need Need, left time.Duration) time.Duration {
+// spreadRetryAfter returns the retry delay for callers that wait for a backoff to end. Callers are
+// spread over one goal after it, since a target that requested a backoff has little capacity.
+func spreadRetryAfter(need Need, left time.Duration) time.Duration {
 	spread := time.Duration(rand.Float64() * float64(need.Goal))
-	return max(min(left, longestRestRetry)+spread, shortestRetryAfter)
+	return max(min(left, maxRequestedBackoff)+spread, minRetryAfter)
 }
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -11,52 +11,52 @@
 )
 
 const (
-	// shortestRetryAfter and longestRetryAfter bound what a refused caller is told.
-	shortestRetryAfter = 100 * time.Millisecond
-	longestRetryAfter  = 5 * time.Second
-	// retryGoals is how many goals' time a refused caller should wait, between
-	// retryLeast of it and retrySpread more.
-	retryGoals  = 1
-	retryLeast  = 0.7
-	retrySpread = 0.6
-	// pumpPeriod is how often waiting requests are tried again without an event.
-	pumpPeriod = 10 * time.Millisecond
+	// minRetryAfter and maxRetryAfter bound the retry delay that a refused caller is given.
+	minRetryAfter = 100 * time.Millisecond
+	maxRetryAfter = 5 * time.Second
+	// The retry delay of a refused caller is retryAfterGoals times the request's goal, multiplied
+	// by a random factor between retryAfterMinFactor and retryAfterMinFactor+retryAfterJitter.
+	retryAfterGoals     = 1
+	retryAfterMinFactor = 0.7
+	retryAfterJitter    = 0.6
+	// dispatchInterval is how often queued requests are dispatched when no event triggers that.
+	dispatchInterval = 10 * time.Millisecond
 )
 
-// Need is one request that looks for a target.
+// Need is a request that needs a target.
 type Need struct {
 	ID   shelfshelf.RequestID
 	Pool shelfshelf.PoolName
-	// Rank orders customers and Tier requests; lower goes first.
+	// Rank is the priority of the customer and Tier that of the request; lower values go first.
 	Rank int
 	Tier shelfshelf.Tier
-	// Begun says that a target has already worked on the request; it goes first.
+	// Begun says that a target has already worked on the request; such requests go first.
 	Begun bool
-	// Arrived is when the request came.
+	// Arrived is when the request arrived.
 	Arrived time.Time
-	// WaitUntil is when a request that found no place is refused.
+	// WaitUntil is when a request without a slot is refused.
 	WaitUntil time.Time
-	// Deadline is when the caller gives up; zero if that is not known.
+	// Deadline is when the caller gives up; zero if unknown.
 	Deadline time.Time
 	// Goal is the time within which the first token, or a plain answer, is due.
 	Goal   time.Duration
 	Prompt []shelfshelf.PromptPart
-	// PromptTokens and OutputTokens are sizes, zero for plain services.
+	// PromptTokens and OutputTokens are the expected sizes, zero for plain services.
 	PromptTokens int
 	OutputTokens int
-	// Avoid are targets that have failed this request.
+	// Avoid lists targets that have already failed this request.
 	Avoid []shelfshelf.TargetName
-	// Homes are the regions that it may be served in; nil means any.
+	// Homes lists the regions that may serve the request; nil means any.
 	Homes *shelfshelf.Homes
-	// Route is the route that the request came on.
+	// Route is the route on which the request arrived.
 	Route shelfshelf.RouteName
 
-	// choice says which versions of the pool's targets it may go to; nil where it may go to
-	// any. A need is copied for each target that is weighed, and mostly there is no order.
+	// choice restricts the target versions that may serve the request; nil allows any. It is a
+	// pointer because a Need is copied for each target considered, and most pools have no rollout.
 	choice *shelfshelf.VersionChoice
 }
 
-// Refusal is why a request got no target.
+// Refusal is the error for a request that got no target.
 type Refusal struct {
 	Reason     shelfshelf.RefusalReason
 	RetryAfter time.Duration
@@ -67,65 +67,66 @@
 	return "no target: " + r.Reason.String()
 }
 
-// Balancer keeps the targets of all pools. Fields are set before use. It is safe
-// for concurrent use.
+// Balancer assigns requests to the targets of all pools. Set its fields before use. It is safe for
+// concurrent use.
 type Balancer struct {
 	Clock shelfshelf.Clock
 	// DataCentre is where this instance runs.
 	DataCentre shelfshelf.DataCentre
-	// Regions are those of the data centres.
+	// Regions maps data centres to their regions.
 	Regions map[shelfshelf.DataCentre]shelfshelf.Region
-	// Self is this instance.
+	// Self is the ID of this instance.
 	Self shelfshelf.InstanceID
-	// Fleet is the other instances; nil means that there are none.
+	// Fleet describes the other instances; nil means that there are none.
 	Fleet Fleet
-	// Places asks the owners of engines for places; nil means that this instance decides
-	// alone, by what the others tell.
+	// Places requests slots from the owners of engines. If it is nil, this instance decides alone,
+	// from the loads that the others report.
 	Places shelfshelf.Places
-	// Rollouts says which versions of targets requests go to; nil means any.
+	// Rollouts chooses the target versions that requests may use; nil allows any.
 	Rollouts shelfshelf.Rollouts
-	// Announced knows what targets have said of themselves; nil means nothing. Those with a
-	// limit get only what their owners give, so that without Places they get nothing.
+	// Announced returns what targets have announced about themselves; nil means that nothing is
+	// known. Slots of targets with a limit are granted by their owners only, so without Places such
+	// targets get no requests.
 	Announced shelfshelf.Announcements
 
 	mu      sync.Mutex
 	pools   map[shelfshelf.PoolName]*pool
 	targets map[shelfshelf.TargetName]*targetState
 	keys    map[shelfshelf.TargetKey]*targetState
-	// peersUse and remotesUse are the targets that others told of last: a word replaces
-	// the one before it without a look at every target.
-	peersUse   map[shelfshelf.InstanceID][]*targetState
-	remotesUse map[shelfshelf.DataCentre][]*targetState
-	// evacuated are the data centres whose targets get nothing new.
+	// peerTargets and remoteTargets are the targets in the latest report of each instance and data
+	// centre. With them a new report replaces the previous one without a scan of all targets.
+	peerTargets   map[shelfshelf.InstanceID][]*targetState
+	remoteTargets map[shelfshelf.DataCentre][]*targetState
+	// evacuated lists the data centres whose targets get no new requests.
 	evacuated  []shelfshelf.DataCentre
-	placements placements
-	view       view
-	// observations are those since the last status.
+	prefixes   prefixIndex
+	fleetState fleetState
+	// observations are the speeds observed since the last status message.
 	observations []shelfshelf.TargetSpeed
-	// waking wakes the loop that tries waiting requests again.
-	waking chan struct{}
-	// waitingOwned counts the requests that stand in lines of owners.
-	waitingOwned atomic.Int64
+	// wakeups wakes the loop that dispatches queued requests.
+	wakeups chan struct{}
+	// waitingAtOwners counts the requests in queues of owners.
+	waitingAtOwners atomic.Int64
 }
 
-// pool is the targets and the line of one pool.
+// pool holds the targets and the queue of one pool.
 type pool struct {
 	spec    *shelfshelf.Pool
 	targets []*targetState
-	// listed are the targets as the list has them.
-	listed []shelfshelf.Target
-	line   []*waiter
-	shares shares
+	// listed are the targets as specified in the current target list.
+	listed       []shelfshelf.Target
+	queue        []*waiter
+	servedShares servedShares
 }
 
-// SetTargets replaces pools and targets; what is in flight stays counted. A target that
-// started again under its name begins anew: it runs nothing, holds no prompt and may be
-// reached, and leases of its earlier life change nothing of that.
+// SetTargets replaces pools and targets; requests in flight stay counted. A target that has
+// restarted under the same name gets a new state: no load, no cached prompts and no backoff. Leases
+// of its previous process don't affect the new state.
 func (b *Balancer) SetTargets(pools []shelfshelf.Pool, targets []shelfshelf.Target) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.Clock.Now()
-	b.forgetSilent(now)
+	b.dropStaleReports(now)
 	old := b.targets
 	oldPools := b.pools
 	b.targets = make(map[shelfshelf.TargetName]*targetState, len(targets))
@@ -134,18 +135,18 @@
 	for i := range pools {
 		p := &pool{spec: &pools[i]}
 		if before := oldPools[pools[i].Name]; before != nil {
-			p.line = before.line
-			p.shares = before.shares
+			p.queue = before.queue
+			p.servedShares = before.servedShares
 		}
 		b.pools[pools[i].Name] = p
 	}
 	gone := make(map[shelfshelf.TargetName]bool)
 	for _, target := range targets {
-		state, began := stateOf(old[target.Name], target)
-		if began && old[target.Name] != nil {
+		state, created := stateOf(old[target.Name], target)
+		if created && old[target.Name] != nil {
 			gone[target.Name] = true
 		}
-		b.addTarget(state, target, began, now)
+		b.addTarget(state, target, created, now)
 	}
 	for name := range old {
 		if b.targets[name] == nil {
@@ -153,31 +154,31 @@
 		}
 	}
 	if len(gone) > 0 {
-		b.placements.forget(gone)
+		b.prefixes.forget(gone)
 	}
 	for _, p := range b.pools {
 		slices.SortFunc(p.targets, func(x, y *targetState) int { return compareNames(x.target.Name, y.target.Name) })
-		b.pump(p, now)
+		b.dispatch(p, now)
 	}
 }
 
-// stateOf returns the state of a listed target, a new one where its life began since it was last
-// listed.
-func stateOf(before *targetState, target shelfshelf.Target) (state *targetState, began bool) {
+// stateOf returns the state of a listed target: a new one if the target is new or has restarted
+// since it was last listed.
+func stateOf(before *targetState, target shelfshelf.Target) (state *targetState, created bool) {
 	if before != nil && before.target.SameLife(target) {
 		return before, false
 	}
 	return &targetState{
-		peers:   make(map[shelfshelf.InstanceID]toldLoad),
-		remotes: make(map[shelfshelf.DataCentre]toldLoad),
+		peerLoads:   make(map[shelfshelf.InstanceID]reportedLoad),
+		remoteLoads: make(map[shelfshelf.DataCentre]reportedLoad),
 	}, true
 }
 
-// addTarget lists a target as it is now; the lock is held.
-func (b *Balancer) addTarget(state *targetState, target shelfshelf.Target, began bool, now time.Time) {
+// addTarget adds a target to the current lists; the lock is held.
+func (b *Balancer) addTarget(state *targetState, target shelfshelf.Target, created bool, now time.Time) {
 	p := b.pools[target.Pool]
 	if p != nil {
-		b.setCold(state, p, target, began, now)
+		b.updateCold(state, p, target, created, now)
 	}
 	state.target = target
 	state.slots = max(target.Slots, 1)
@@ -185,7 +186,7 @@
 	state.evacuated = slices.Contains(b.evacuated, target.DataCentre)
 	b.targets[target.Name] = state
 	state.key = shelfshelf.KeyOfTarget(target.Name)
-	b.recallWord(state)
+	b.loadAnnouncement(state)
 	b.keys[state.key] = state
 	if p != nil {
 		state.engine = p.spec.Engine != nil
@@ -194,75 +195,74 @@
 	}
 }
 
-// Acquire waits for a place for a request. The error is a *Refusal or the
-// context's.
+// Acquire waits for a slot for a request. The error is a *Refusal or the context's error.
 func (b *Balancer) Acquire(ctx context.Context, need Need) (*Lease, error) {
 	need.choice = b.chooseVersion(need)
 	if need.choice != nil && need.choice.Trial {
-		if lease := b.tryVersion(ctx, need); lease != nil {
+		if lease := b.acquireTrial(ctx, need); lease != nil {
 			return lease, nil
 		}
 		old := need.choice.Old()
 		need.choice = &old
 	}
-	if refusal := b.refuseForRest(need); refusal != nil {
+	if refusal := b.refuseForBackoff(need); refusal != nil {
 		return nil, refusal
 	}
-	if b.owned(need.Pool) {
-		if b.tooMany(need) {
+	if b.assignedByOwners(need.Pool) {
+		if b.exceedsTierShare(need) {
 			return nil, &Refusal{Reason: shelfshelf.RefusedOrder, RetryAfter: retryAfter(need)}
 		}
-		lease, err := b.acquireOwned(ctx, need)
+		lease, err := b.acquireFromOwners(ctx, need)
 		if ctx.Err() == nil {
-			b.noteShare(need, err == nil)
+			b.recordServed(need, err == nil)
 		}
 		return lease, err
 	}
-	return b.acquirePlain(ctx, need)
+	return b.acquireService(ctx, need)
 }
 
-// owned reports that owners give out the places of a pool: its targets are engines,
-// which keep a place for seconds. Calls of plain services are over before a word on
-// them would matter.
-func (b *Balancer) owned(name shelfshelf.PoolName) bool {
+// assignedByOwners reports whether owners grant the slots of a pool. They do so for engines, whose
+// requests hold a slot for seconds. Calls of plain services end before a report on them would be of
+// use.
+func (b *Balancer) assignedByOwners(name shelfshelf.PoolName) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := b.pools[name]
 	return b.Places != nil && p != nil && p.spec.Engine != nil && len(p.targets) > 0
 }
 
-// acquireAlone waits for a place by what this instance knows of the others.
-func (b *Balancer) acquireAlone(ctx context.Context, need Need) (*Lease, error) {
+// acquireLocally waits for a slot, deciding by this instance's own view of the load.
+func (b *Balancer) acquireLocally(ctx context.Context, need Need) (*Lease, error) {
 	b.mu.Lock()
 	now := b.Clock.Now()
 	p := b.pools[need.Pool]
-	if p == nil || p.hopeless(need) {
+	if p == nil || p.unservable(need) {
 		b.mu.Unlock()
-		return nil, &Refusal{Reason: shelfshelf.RefusedNoTarget, RetryAfter: max(b.RestLeft(need), shortestRetryAfter)}
+		return nil, &Refusal{Reason: shelfshelf.RefusedNoTarget, RetryAfter: max(b.RestLeft(need), minRetryAfter)}
 	}
-	ahead := p.ahead(need)
+	ahead := p.countAhead(need)
 	if ahead == 0 {
-		if lease := b.place(p, need, now); lease != nil {
+		if lease := b.tryGrant(p, need, now); lease != nil {
 			b.mu.Unlock()
 			return lease, nil
 		}
 	}
 	if !now.Before(need.WaitUntil) {
 		b.mu.Unlock()
-		return nil, &Refusal{Reason: shelfshelf.RefusedShed, RetryAfter: b.comeBack(need)}
+		return nil, &Refusal{Reason: shelfshelf.RefusedShed, RetryAfter: b.refusalRetryAfter(need)}
 	}
-	w := &waiter{need: need, lease: make(chan *Lease, 1)}
-	p.insert(w)
-	b.wake()
+	w := &waiter{need: need, granted: make(chan *Lease, 1)}
+	p.enqueue(w)
+	b.wakeDispatcher()
 	b.mu.Unlock()
-	return b.wait(ctx, w)
+	return b.awaitGrant(ctx, w)
 }
 
-// hopeless reports that there is no target that might take a request, however long it
-// waits: to refuse it at once serves its caller best.
-func (p *pool) hopeless(need Need) bool {
+// unservable reports whether no target can ever serve a request, however long it waits. Such a
+// request is refused at once.
+func (p *pool) unservable(need Need) bool {
 	for _, t := range p.targets {
-		if t.fits(need) {
+		if t.eligible(need) {
 			return false
 		}
 	}
--- a/balance/choose.go
+++ b/balance/choose.go
@@ -11,50 +11,50 @@
 )
 
 const (
-	// failurePenalty is what a target that fails every request is put back by.
+	// failurePenalty is added to the cost of a target that fails every request.
 	failurePenalty = 2 * time.Second
-	// otherCentreShare is the part of its goal that a request may lose by staying in
-	// its data centre: bytes between data centres cost, and an answer is worth no more
-	// for coming long before its goal.
-	otherCentreShare = 0.15
-	// finishShare is the part of the time that a caller waits for the whole answer within
-	// which it should end; an engine that would take longer is put back by a goal. How
-	// long an answer takes counts for nothing else: a slow engine takes as much longer for
-	// a short one. With a weight of 0.2, long answers asked the fastest engines alone,
-	// where all others ask too, and of the longest tenth 0.28 were served, of all 0.75.
-	finishShare = 0.7
-	// safeShare is the part of its goal that a request may be expected to use up
-	// without a penalty: predictions are often off by a factor of two.
-	safeShare = 0.35
-	// biasShare times the staleness of loads is the most that an instance's own
-	// preference counts, in steps of one part in biasSteps.
-	biasShare = 0.3
-	biasSteps = 64
-	// pieceTokens is how much of a prompt an engine is taken to read in one step.
-	pieceTokens = 2048
-	// speedHalfLife is how fast an observed speed becomes worthless without new ones.
+	// remotePenaltyShare is the share of its goal that a request may lose by staying in its data
+	// centre. Traffic between data centres costs money, and an answer long before its goal is worth
+	// no more than one just before it.
+	remotePenaltyShare = 0.15
+	// completionTimeShare is the share of the time left until the caller's deadline within which
+	// the whole answer should end; an engine expected to take longer is penalized by one goal. The
+	// duration of the answer has no other influence on the cost, since a slow engine is slow for
+	// short answers in the same proportion. With a weight of 0.2 on the duration, long answers
+	// asked only the fastest engines, which all other requests ask too: 0.28 of the longest tenth
+	// were served, against 0.75 of all requests.
+	completionTimeShare = 0.7
+	// safeGoalShare is the share of its goal that a request may be expected to use without a
+	// penalty. Predictions are often off by a factor of two.
+	safeGoalShare = 0.35
+	// maxBiasShare, multiplied by the staleness of the load reports, is the largest bias that an
+	// instance adds to a target. The bias has biasSteps different values.
+	maxBiasShare = 0.3
+	biasSteps    = 64
+	// prefillChunkTokens is how many prompt tokens an engine is assumed to prefill in one step.
+	prefillChunkTokens = 2048
+	// speedHalfLife is the half-life of an observed speed that no new observation confirms.
 	speedHalfLife = 20 * time.Second
-	// mostTurns bounds how many times its places a plain service may have in calls: it queues
-	// a few, and what it refuses has cost a way there and back.
-	mostTurns = 3
-	// crowdPenalty is what each request already running counts; it spreads requests
-	// whose predictions are equal.
-	crowdPenalty = 3 * time.Millisecond
+	// maxQueueRounds bounds the calls of a plain service, running and queued, as a multiple of its
+	// slots. A service queues only a few, and a call that it rejects has cost a round trip.
+	maxQueueRounds = 3
+	// inFlightPenalty is added for each request in flight at a target. It spreads requests over
+	// targets with equal predictions.
+	inFlightPenalty = 3 * time.Millisecond
 )
 
-// place gives a request the best target that has a place, or nil; the lock is
-// held.
-func (b *Balancer) place(p *pool, need Need, now time.Time) *Lease {
-	b.look(now)
-	best := b.cheapest(p, need, now, func(t *targetState) bool { return t.usable(need, now) })
+// tryGrant grants a request a slot at the best target with a free one; nil if there is none. The
+// lock is held.
+func (b *Balancer) tryGrant(p *pool, need Need, now time.Time) *Lease {
+	b.refreshFleetState(now)
+	best := b.cheapest(p, need, now, func(t *targetState) bool { return t.assignable(need, now) })
 	if best == nil {
 		return nil
 	}
-	return b.grantAlone(p, best, need, now)
+	return b.grantWithoutOwner(p, best, need, now)
 }
 
-// cheapest returns the target of the least cost among those that fit, or nil; the lock
-// is held.
+// cheapest returns the eligible target with the lowest cost, or nil; the lock is held.
 func (b *Balancer) cheapest(p *pool, need Need, now time.Time, fits func(*targetState) bool) *targetState {
 	var best *targetState
 	var bestCost time.Duration
@@ -70,88 +70,88 @@
 	return best
 }
 
-// grantAlone takes a place without an owner's word, which hears of it afterwards; the
-// lock is held.
-func (b *Balancer) grantAlone(p *pool, t *targetState, need Need, now time.Time) *Lease {
+// grantWithoutOwner takes a slot without asking its owner, who is told afterwards; the lock is
+// held.
+func (b *Balancer) grantWithoutOwner(p *pool, t *targetState, need Need, now time.Time) *Lease {
 	lease := b.grant(p, t, need, now)
 	if b.Places != nil && t.engine {
 		lease.Alone = true
-		lease.place = b.Places.Took(t.key, t.target.DataCentre)
+		lease.grantID = b.Places.Took(t.key, t.target.DataCentre)
 	}
 	return lease
 }
 
-// open reports that a target may get this request at all: a rest that it has asked for binds
-// all requests of this instance, not the one that was turned away.
-func (t *targetState) open(need Need, now time.Time) bool {
-	return t.fits(need) && !now.Before(t.openAt())
+// available reports whether a target accepts this request now. A backoff that a target has
+// requested applies to all requests of this instance, not only to the one that it rejected.
+func (t *targetState) available(need Need, now time.Time) bool {
+	return t.eligible(need) && !now.Before(t.availableAt())
 }
 
-// openAt returns when the target takes requests again, as far as is known.
-func (t *targetState) openAt() time.Time {
-	return shelfshelf.Later(t.restUntil, shelfshelf.Later(t.pacedUntil, t.said.RestUntil))
+// availableAt returns when the target accepts requests again, as far as is known.
+func (t *targetState) availableAt() time.Time {
+	return shelfshelf.Later(t.backoffUntil, shelfshelf.Later(t.askOwnerAfter, t.announcement.RestUntil))
 }
 
-// fits reports that a target may ever get this request.
-func (t *targetState) fits(need Need) bool {
-	home := need.Homes == nil || need.Homes.Allows(t.region)
-	return home && !t.evacuated && !t.target.Leaving && !slices.Contains(need.Avoid, t.target.Name) && allowed(need.choice, t)
+// eligible reports whether a target can serve this request at any time.
+func (t *targetState) eligible(need Need) bool {
+	allowedRegion := need.Homes == nil || need.Homes.Allows(t.region)
+	return allowedRegion && !t.evacuated && !t.target.Leaving && !slices.Contains(need.Avoid, t.target.Name) && allowed(need.choice, t)
 }
 
-// usable reports that a target may get this request now without an owner's word, as none that is
-// paced may: 85 instances that send one each within 4 s are 85.
-func (t *targetState) usable(need Need, now time.Time) bool {
-	return !t.paced() && t.open(need, now) && t.load(now).requests < t.places(need)
+// assignable reports whether a target may get this request now without asking its owner. It is
+// always false for owner-only targets: if each of 85 instances sent one request within 4 s, the
+// target would get 85.
+func (t *targetState) assignable(need Need, now time.Time) bool {
+	return !t.ownerOnly() && t.available(need, now) && t.load(now).requests < t.slotLimit(need)
 }
 
-// places is how many requests a target may have with this one. An engine keeps some for
-// higher tiers. A plain service queues its calls, which are over before a word on them
-// has reached the other instances: one may go there as long as its turn should come
-// within a safe part of its goal. With 78 instances before three targets of six places, 6%
-// more calls of a day of high load were in time, and 0.3 of the refusals were left (one
-// seed, with and without).
-func (t *targetState) places(need Need) int {
+// slotLimit is how many requests a target may have in flight, including this one. An engine
+// reserves some slots for higher tiers. A plain service queues its calls, which end before a report
+// on them has reached the other instances; it may get another call as long as the call should start
+// within a safe share of its goal. With 78 instances and three targets of six slots, queuing
+// brought 6% more calls of a high-load day in on time and left 0.3 of the refusals (one seed, with
+// and without queuing).
+func (t *targetState) slotLimit(need Need) int {
 	if t.engine {
 		return t.slots - shelfshelf.ReservedPlaces(t.slots, need.Tier, need.Begun)
 	}
-	turns := min(safeShare*float64(need.Goal)/float64(t.workTime()), mostTurns)
-	return max(t.slots, int(turns*float64(t.slots)))
+	rounds := min(safeGoalShare*float64(need.Goal)/float64(t.callTime()), maxQueueRounds)
+	return max(t.slots, int(rounds*float64(t.slots)))
 }
 
-// cost is the expected time to the first token, with what speaks against the
-// target in the same unit.
+// cost is the expected time to the first token plus penalties, all as durations.
 func (b *Balancer) cost(p *pool, t *targetState, need Need, now time.Time) time.Duration {
 	requests := t.load(now).requests
-	unread := b.unread(t, need, now)
-	expected := b.expect(p, t, unread, now)
-	cost := expected + lateness(expected, need.Goal)
+	uncached := b.uncachedTokens(t, need, now)
+	expected := b.expect(p, t, uncached, now)
+	cost := expected + latenessPenalty(expected, need.Goal)
 	cost += time.Duration(t.failureShare(now) * float64(failurePenalty))
-	cost += time.Duration(requests) * crowdPenalty
+	cost += time.Duration(requests) * inFlightPenalty
 	if t.target.DataCentre != b.DataCentre {
-		cost += time.Duration(otherCentreShare * float64(need.Goal))
+		cost += time.Duration(remotePenaltyShare * float64(need.Goal))
 	}
 	if p.spec.Engine == nil {
 		return cost
 	}
-	if p.tooSlow(t, need, unread, now) {
+	if p.tooSlow(t, need, uncached, now) {
 		cost += need.Goal
 	}
-	return cost + b.ownBias(t)
+	return cost + b.instanceBias(t)
 }
 
-// tooSlow reports that an engine is not expected to end a request's answer in time.
-func (p *pool) tooSlow(t *targetState, need Need, unread int, now time.Time) bool {
+// tooSlow reports whether an engine is expected to finish the answer too late.
+func (p *pool) tooSlow(t *targetState, need Need, uncached int, now time.Time) bool {
 	if need.Deadline.IsZero() {
 		return false
 	}
 	left := float64(need.Deadline.Sub(now))
-	return float64(p.expectStay(t, need, unread, now)) > finishShare*left
+	return float64(p.expectHoldTime(t, need, uncached, now)) > completionTimeShare*left
 }
 
-// lateness is what an expected time beyond a safe part of the goal counts in
-// addition: nothing below it, a whole goal at the goal, and more beyond.
-func lateness(expected, goal time.Duration) time.Duration {
-	safe := time.Duration(safeShare * float64(goal))
+// latenessPenalty is the penalty for an expected time beyond the safe share of the goal: zero up to
+// that share, one goal when the expected time equals the goal, and growing quadratically.
+func latenessPenalty(expected, goal time.Duration) time.Duration {
+	safe := time.Duration(safeGoalShare * float64(goal))
 	if goal <= 0 || expected <= safe {
 		return 0
 	}
@@ -159,114 +159,114 @@
 	return time.Duration(over * over * float64(goal))
 }
 
-// ownBias makes each instance prefer other targets among near equals, the same ones
-// every time. Instances that know each other's load only late would otherwise all
-// send to the one that looked best; so each mostly uses targets that it knows well.
-func (b *Balancer) ownBias(t *targetState) time.Duration {
+// instanceBias adds a bias that is constant for a pair of instance and target, so that each
+// instance prefers different targets among nearly equal ones. Load reports arrive late; without the
+// bias, all instances would send to the target that looked best. With it, each instance mostly uses
+// targets whose load it knows well.
+func (b *Balancer) instanceBias(t *targetState) time.Duration {
 	hash := xxhash.Sum64String(string(b.Self) + "/" + string(t.target.Name))
 	part := float64(hash%biasSteps) / biasSteps
-	return time.Duration(part * float64(b.view.staleness) * biasShare)
+	return time.Duration(part * float64(b.fleetState.staleness) * maxBiasShare)
 }
 
-// unseen estimates how many requests the others have sent to a target since they
-// told: as many as they keep there, for the part of a stay that has passed.
-func (b *Balancer) unseen(t *targetState, requests int) float64 {
-	if t.stay == 0 {
+// unreportedRequests estimates how many requests other instances have sent to a target since their
+// last reports: their requests there, times the fraction of the hold time that has passed since.
+func (b *Balancer) unreportedRequests(t *targetState, requests int) float64 {
+	if t.holdTime == 0 {
 		return 0
 	}
-	others := float64(requests - t.own.requests)
-	return others * float64(b.view.staleness) / 2 / float64(t.stay)
+	others := float64(requests - t.local.requests)
+	return others * float64(b.fleetState.staleness) / 2 / float64(t.holdTime)
 }
 
-// expect predicts the time to the first token of a prompt of which the target has so many
-// tokens to read, or to a plain answer.
-func (b *Balancer) expect(p *pool, t *targetState, unread int, now time.Time) time.Duration {
+// expect predicts the time to the first token, given how many prompt tokens the target has not
+// cached, or the time to a plain answer.
+func (b *Balancer) expect(p *pool, t *targetState, uncached int, now time.Time) time.Duration {
 	loaded := t.load(now)
 	requests := loaded.requests
 	if p.spec.Engine == nil {
-		work := t.workTime()
-		return work + work*time.Duration(requests)/time.Duration(2*t.slots)
+		callTime := t.callTime()
+		return callTime + callTime*time.Duration(requests)/time.Duration(2*t.slots)
 	}
-	reading := p.readingTime(t, unread+loaded.before(unread), now)
-	queued := max(float64(requests+1-t.slots)+b.unseen(t, requests), 0)
-	turn := float64(t.stay) / float64(t.slots)
-	return firstTokenFixed + reading + time.Duration(queued*turn)
+	prefill := p.prefillTime(t, uncached+loaded.prefillAhead(uncached), now)
+	queued := max(float64(requests+1-t.slots)+b.unreportedRequests(t, requests), 0)
+	turn := float64(t.holdTime) / float64(t.slots)
+	return firstTokenOverhead + prefill + time.Duration(queued*turn)
 }
 
-// expectStay predicts how long a request alone, of whose prompt an engine has so many tokens
-// to read, would keep its place there.
-func (p *pool) expectStay(t *targetState, need Need, unread int, now time.Time) time.Duration {
-	reading := p.readingTime(t, unread, now)
-	return firstTokenFixed + reading + time.Duration(need.OutputTokens)*p.step(t, now)
+// expectHoldTime predicts how long a request would hold its slot on an otherwise idle engine, given
+// how many prompt tokens the engine has not cached.
+func (p *pool) expectHoldTime(t *targetState, need Need, uncached int, now time.Time) time.Duration {
+	prefill := p.prefillTime(t, uncached, now)
+	return firstTokenOverhead + prefill + time.Duration(need.OutputTokens)*p.step(t, now)
 }
 
-// readingTime is the time that a target takes to read so many prompt tokens.
-func (p *pool) readingTime(t *targetState, tokens int, now time.Time) time.Duration {
+// prefillTime is the time that a target takes to prefill a number of prompt tokens.
+func (p *pool) prefillTime(t *targetState, tokens int, now time.Time) time.Duration {
 	return time.Duration(float64(tokens) / p.prefillRate(t, now) * float64(time.Millisecond))
 }
 
-// unread is how much of a request's prompt a target would have to read.
-func (b *Balancer) unread(t *targetState, need Need, now time.Time) int {
-	return max(need.PromptTokens-b.placements.held(now, need.Prompt, t.target.Name), 0)
+// uncachedTokens is how many prompt tokens of a request a target would have to prefill.
+func (b *Balancer) uncachedTokens(t *targetState, need Need, now time.Time) int {
+	return max(need.PromptTokens-b.prefixes.cachedTokens(now, need.Prompt, t.target.Name), 0)
 }
 
-// before is how much of other prompts an engine reads before it has read one of so
-// many tokens: it reads them piece by piece in turn, so that a long one holds up a
-// short one for no longer than the short one takes itself.
-func (l load) before(tokens int) int {
-	return min(l.prefill, l.prefilling*max(tokens, pieceTokens))
+// prefillAhead is how many tokens of other prompts an engine prefills before it has finished a
+// prompt of the given size. It prefills prompts in chunks, in turn, so a long prompt delays a short
+// one by no more than the short one's own prefill time.
+func (l load) prefillAhead(tokens int) int {
+	return min(l.prefillTokens, l.prefilling*max(tokens, prefillChunkTokens))
 }
 
-// prefillRate returns a target's observed speed of reading. A slow one drifts back
-// to the start's guess without new observations, so that it is tried again: it may
-// have recovered.
+// prefillRate returns the observed prefill rate of a target. Without new observations, a rate below
+// the default decays towards it, so that a slow target, which may have recovered, is tried again.
 func (p *pool) prefillRate(t *targetState, now time.Time) float64 {
 	if t.prefillRate == 0 {
-		return startPrefillRate
+		return defaultPrefillRate
 	}
-	missing := max(startPrefillRate-t.prefillRate, 0)
-	return t.prefillRate + missing*forgotten(now.Sub(t.rateAt))
+	missing := max(defaultPrefillRate-t.prefillRate, 0)
+	return t.prefillRate + missing*decayedShare(now.Sub(t.rateAt))
 }
 
-// step returns a target's observed time of one token, by the same rule.
+// step returns the observed time per output token of a target, with the same decay.
 func (p *pool) step(t *targetState, now time.Time) time.Duration {
 	if t.step == 0 {
-		return startStep
+		return defaultStep
 	}
-	excess := max(t.step-startStep, 0)
-	return t.step - time.Duration(float64(excess)*forgotten(now.Sub(t.stepAt)))
+	excess := max(t.step-defaultStep, 0)
+	return t.step - time.Duration(float64(excess)*decayedShare(now.Sub(t.stepAt)))
 }
 
-// forgotten is the part of an observation that time has made worthless.
-func forgotten(age time.Duration) float64 {
+// decayedShare is the share of an observation's weight that is lost at a given age.
+func decayedShare(age time.Duration) float64 {
 	return 1 - math.Exp2(-float64(age)/float64(speedHalfLife))
 }
 
-// grant takes a place at a target.
+// grant takes a slot at a target; the lock is held.
 func (b *Balancer) grant(p *pool, t *targetState, need Need, now time.Time) *Lease {
 	loaded := t.load(now)
-	unread := b.unread(t, need, now)
+	uncached := b.uncachedTokens(t, need, now)
 	lease := &Lease{
-		Target:       t.target,
-		Region:       t.region,
-		CachedTokens: need.PromptTokens - unread,
-		Expected:     b.expect(p, t, unread, now),
-		InFlight:     loaded.requests,
-		balancer:     b,
-		state:        t,
-		need:         need,
-		prefill:      unread,
-		prefilling:   true,
-		ahead:        loaded.before(unread),
-		granted:      now,
+		Target:        t.target,
+		Region:        t.region,
+		CachedTokens:  need.PromptTokens - uncached,
+		Expected:      b.expect(p, t, uncached, now),
+		InFlight:      loaded.requests,
+		balancer:      b,
+		state:         t,
+		need:          need,
+		prefillTokens: uncached,
+		prefilling:    true,
+		tokensAhead:   loaded.prefillAhead(uncached),
+		grantedAt:     now,
 	}
-	t.own = t.own.plus(load{requests: 1, prefilling: 1, prefill: unread})
+	t.local = t.local.add(load{requests: 1, prefilling: 1, prefillTokens: uncached})
 	t.ownerLoad++
 	if b.Rollouts != nil {
 		b.Rollouts.Began(t.target)
 	}
 	for _, part := range need.Prompt {
-		b.placements.add(now, part.ID, t.target.Name)
+		b.prefixes.add(now, part.ID, t.target.Name)
 	}
 	return lease
 }
--- a/balance/cold.go
+++ b/balance/cold.go
@@ -6,56 +6,56 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-// coldMargin is how long after a target has turned cold that may be known here: by its entry, which
-// it writes every 1.2 s, or another instance's word.
-const coldMargin = 2 * time.Second
+// coldReportDelay is how long it may take until this instance learns that a target has turned cold:
+// from the target's entry, which the target writes every 1.2 s, or from another instance.
+const coldReportDelay = 2 * time.Second
 
 // ColdState is what is known of a target that may turn cold.
 type ColdState struct {
-	// Bears is how many requests a second it bears while it is cold; 0 if it never is.
+	// Bears is how many requests per second the target can take while cold; 0 if it never is cold.
 	Bears float64
-	// Suspected says that it may be cold now, by what is known here.
+	// Suspected says that the target may be cold now, as far as this instance knows.
 	Suspected bool
 }
 
-// paced reports that only owners give the places of a target: it has announced a limit, or may turn
-// cold at any moment.
-func (t *targetState) paced() bool { return t.limited() || t.bears > 0 }
+// ownerOnly reports whether only owners may grant the slots of a target: it has announced a limit,
+// or may turn cold at any moment.
+func (t *targetState) ownerOnly() bool { return t.hasLimit() || t.coldRate > 0 }
 
-// strict reports that only the first owner does, however silent it is: each further one would give
-// as much again.
-func (t *targetState) strict(now time.Time) bool {
-	return t.limited() || t.suspected(now)
+// firstOwnerOnly reports whether only the first owner may grant the slots of a target, even if that
+// owner doesn't answer: each further owner would grant the full rate again.
+func (t *targetState) firstOwnerOnly(now time.Time) bool {
+	return t.hasLimit() || t.maybeCold(now)
 }
 
-// suspected reports that the target may be cold now.
-func (t *targetState) suspected(now time.Time) bool { return t.bears > 0 && now.Before(t.coldUntil) }
+// maybeCold reports whether the target may be cold now.
+func (t *targetState) maybeCold(now time.Time) bool { return t.coldRate > 0 && now.Before(t.coldUntil) }
 
-// setCold notes how many requests a second a target bears while it is cold, and that it may be cold
-// now: after a start that was seen here, as far as its entry says, or as long as this instance has
-// just started itself and can't know. The lock is held.
-func (b *Balancer) setCold(t *targetState, p *pool, listed shelfshelf.Target, began bool, now time.Time) {
-	t.bears = p.spec.Cold.PerSecond
-	if began {
-		t.suspectCold(p, now)
+// updateCold sets the rate that a target can take while cold, and extends the time in which it may
+// be cold: after a start seen by this instance, for the time given in the target's entry, and after
+// a start of this instance, which can't know how long the target has been running. The lock is
+// held.
+func (b *Balancer) updateCold(t *targetState, p *pool, listed shelfshelf.Target, created bool, now time.Time) {
+	t.coldRate = p.spec.Cold.PerSecond
+	if created {
+		t.markMaybeCold(p, now)
 	}
 	if listed.ColdFor > 0 && listed.ColdFor != t.target.ColdFor {
-		t.coldUntil = shelfshelf.Later(t.coldUntil, now.Add(listed.ColdFor+coldMargin))
+		t.coldUntil = shelfshelf.Later(t.coldUntil, now.Add(listed.ColdFor+coldReportDelay))
 	}
 }
 
-// suspectCold notes that a target may have turned cold just now.
-func (t *targetState) suspectCold(p *pool, now time.Time) {
-	if t.bears > 0 {
-		t.coldUntil = shelfshelf.Later(t.coldUntil, now.Add(p.spec.Cold.Time+coldMargin))
+// markMaybeCold notes that a target may have just turned cold.
+func (t *targetState) markMaybeCold(p *pool, now time.Time) {
+	if t.coldRate > 0 {
+		t.coldUntil = shelfshelf.Later(t.coldUntil, now.Add(p.spec.Cold.Time+coldReportDelay))
 	}
 }
 
-// suspectAfterRest notes that a target may have started anew that could not be reached; the lock is
-// held.
-func (b *Balancer) suspectAfterRest(l *Lease, now time.Time) {
+// markMaybeColdAfterBackoff notes that an unreachable target may have restarted; the lock is held.
+func (b *Balancer) markMaybeColdAfterBackoff(l *Lease, now time.Time) {
 	if p := b.pools[l.need.Pool]; p != nil {
-		l.state.suspectCold(p, shelfshelf.Later(now, l.state.restUntil))
+		l.state.markMaybeCold(p, shelfshelf.Later(now, l.state.backoffUntil))
 	}
 }
 
@@ -67,5 +67,5 @@
 	if t == nil {
 		return ColdState{}
 	}
-	return ColdState{Bears: t.bears, Suspected: t.suspected(b.Clock.Now())}
+	return ColdState{Bears: t.coldRate, Suspected: t.maybeCold(b.Clock.Now())}
 }
--- a/balance/doc.go
+++ b/balance/doc.go
@@ -1,14 +1,13 @@
-// Package balance decides which target of a pool gets a request, and when.
+// Package balance decides which target of a pool serves a request, and when.
 //
-// Every instance decides for its own requests. What it knows of a target is the
-// sum of what it has in flight there itself, which is exact, and what the other
-// instances say they have, which is some tens of milliseconds old. A request goes
-// to the target where its first token is expected soonest, from the prompt tokens
-// that the target has still to read, the speed at which it was seen to read them,
-// and what it is thought to hold of the prompt already. While all places are
-// taken, requests wait here and not at the targets: a target takes them in the
-// order of their arrival, but the line here knows which matter more.
+// Every instance decides for its own requests. It estimates the load of a target from its own
+// requests in flight, which it knows exactly, and from the loads that the other instances report,
+// which are some tens of milliseconds old. A request goes to the target with the earliest expected
+// first token, computed from the prompt tokens that the target still has to prefill, its observed
+// prefill rate, and the part of the prompt that it probably has cached. While all slots are in use,
+// requests wait in a queue of this instance and not at the targets: a target serves requests in
+// order of arrival, while this queue is ordered by priority.
 //
-//	caller -> gateway -> Acquire -> target A, holds the prompt, 3 of 10 places taken
-//	                  <- Release (first token after 80 ms, 60 events, ended well)
+//	caller -> gateway -> Acquire -> target A, has the prompt cached, 3 of 10 slots in use
+//	                  <- Release (first token after 80 ms, 60 events, success)
 package balance
--- a/balance/evacuated.go
+++ b/balance/evacuated.go
@@ -6,8 +6,8 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-// SetEvacuated keeps new requests from the targets of data centres, and lets them go to those of all
-// others; what runs goes on.
+// SetEvacuated sets the data centres whose targets get no new requests. Targets of all other data
+// centres may get requests; requests in flight continue.
 func (b *Balancer) SetEvacuated(centres []shelfshelf.DataCentre) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -17,8 +17,8 @@
 		before := t.evacuated
 		t.evacuated = slices.Contains(centres, t.target.DataCentre)
 		if p := b.pools[t.target.Pool]; p != nil && before && !t.evacuated {
-			t.suspectCold(p, now)
+			t.markMaybeCold(p, now)
 		}
 	}
-	b.pumpAll(now)
+	b.dispatchAll(now)
 }
--- a/balance/fleet.go
+++ b/balance/fleet.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// viewKept is how long a view of the other instances is used: it is asked for with
-// every request and changes slowly.
-const viewKept = 100 * time.Millisecond
+// fleetStateTTL is how long the state of the fleet is cached: it is needed for every request and
+// changes slowly.
+const fleetStateTTL = 100 * time.Millisecond
 
-// Fleet is what a balancer has to know of the other instances.
+// Fleet is what a balancer needs to know about the other instances.
 type Fleet interface {
-	// SpreadTime is how long it takes until others know what happened here.
+	// SpreadTime is how long it takes until others know what has happened here.
 	SpreadTime() time.Duration
 }
 
-// view is what was last seen of the fleet.
-type view struct {
+// fleetState is the last known state of the fleet.
+type fleetState struct {
 	staleness time.Duration
 	at        time.Time
 }
 
-// look brings the view up to date; the lock is held.
-func (b *Balancer) look(now time.Time) {
-	if b.Fleet == nil || !b.view.at.IsZero() && now.Sub(b.view.at) < viewKept {
+// refreshFleetState updates the cached state of the fleet; the lock is held.
+func (b *Balancer) refreshFleetState(now time.Time) {
+	if b.Fleet == nil || !b.fleetState.at.IsZero() && now.Sub(b.fleetState.at) < fleetStateTTL {
 		return
 	}
-	b.view.at = now
-	b.view.staleness = b.Fleet.SpreadTime()
+	b.fleetState.at = now
+	b.fleetState.staleness = b.Fleet.SpreadTime()
 }
--- a/balance/lease.go
+++ b/balance/lease.go
@@ -6,154 +6,155 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-// leastPaceEvents is how many events a stream must have had to tell the time of a token.
-const leastPaceEvents = 5
+// minStepSampleEvents is how many events a stream needs for a sample of the time per token.
+const minStepSampleEvents = 5
 
-// Lease is a place at a target; Release or Cancel must be called once.
+// Lease is a slot at a target. Either Release or Cancel must be called once.
 type Lease struct {
 	Target shelfshelf.Target
-	// Region is where the target runs; empty if that is not known.
+	// Region is where the target runs; empty if unknown.
 	Region shelfshelf.Region
-	// CachedTokens is how much of the prompt the target is thought to hold.
+	// CachedTokens is the estimate of prompt tokens that the target has cached.
 	CachedTokens int
 	// Expected is the predicted time to the first token, or to a plain answer.
 	Expected time.Duration
-	// InFlight is what all instances were thought to have there before this request.
+	// InFlight is the estimate of requests that all instances had in flight at the target before
+	// this one.
 	InFlight int
-	// Asked is how many owners were asked for the place, and Alone says that none gave it:
-	// this instance took it by what it knew.
+	// Asked is how many owners were asked for a slot. Alone says that no owner granted it, so that
+	// this instance took the slot based on its own view of the load.
 	Asked int
 	Alone bool
 
 	balancer *Balancer
 	state    *targetState
 	need     Need
-	// prefill is what the target had to read of the prompt, prefilling whether it still
-	// counts so, and ahead what of other prompts it had to read meanwhile.
-	prefill    int
-	prefilling bool
-	ahead      int
-	granted    time.Time
-	first      time.Time
-	// place is the owner's, zero where there is none.
-	place shelfshelf.PlaceID
+	// prefillTokens is how many prompt tokens the target had to prefill, prefilling says that they
+	// still count as outstanding, and tokensAhead is how many tokens of other prompts the target
+	// had to prefill in the meantime.
+	prefillTokens int
+	prefilling    bool
+	tokensAhead   int
+	grantedAt     time.Time
+	firstTokenAt  time.Time
+	// grantID identifies the slot to the owner; zero if no owner was involved.
+	grantID shelfshelf.PlaceID
 }
 
-// Result is what became of a request at its target.
+// Result is the outcome of a request at its target.
 type Result struct {
 	// Failed says that the target did not answer as it should.
 	Failed bool
-	// Unreachable says that it could not be reached or fell silent.
+	// Unreachable says that the target could not be reached or stopped responding.
 	Unreachable bool
-	// Gone says that another instance answers at its address.
+	// Gone says that another target now answers at its address.
 	Gone bool
 	// Events is how many events a stream had.
 	Events int
-	// Unsent says that the request did not reach the target, and NotRun that the target said
-	// so of it; Left says that the caller went away first.
+	// Unsent says that the request did not reach the target, NotRun that the target reported not to
+	// have run it, and Left that the caller disconnected first.
 	Unsent bool
 	NotRun bool
 	Left   bool
 }
 
-// FirstToken notes that the target has read the prompt.
+// FirstToken notes that the first token has arrived, so that the target has prefilled the prompt.
 func (l *Lease) FirstToken() {
 	b := l.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !l.first.IsZero() {
+	if !l.firstTokenAt.IsZero() {
 		return
 	}
-	l.first = b.Clock.Now()
+	l.firstTokenAt = b.Clock.Now()
 	l.state.endPrefill(l)
-	l.observeFirst()
+	l.observePrefillRate()
 }
 
-// endPrefill notes that a request's prompt is no longer to be read.
+// endPrefill removes the prompt of a request from the outstanding prefill work.
 func (t *targetState) endPrefill(l *Lease) {
 	if l.prefilling {
-		t.own.prefilling--
-		t.own.prefill -= l.prefill
+		t.local.prefilling--
+		t.local.prefillTokens -= l.prefillTokens
 		l.prefilling = false
 	}
 }
 
-// observeFirst learns the speed of reading from the time to the first token.
-func (l *Lease) observeFirst() {
-	tokens := l.ahead + l.need.PromptTokens - l.CachedTokens
-	if tokens < leastLearnTokens {
+// observePrefillRate derives the target's prefill rate from the time to the first token.
+func (l *Lease) observePrefillRate() {
+	tokens := l.tokensAhead + l.need.PromptTokens - l.CachedTokens
+	if tokens < minRateSampleTokens {
 		return
 	}
-	took := l.first.Sub(l.granted) - firstTokenFixed
+	took := l.firstTokenAt.Sub(l.grantedAt) - firstTokenOverhead
 	took = max(took, time.Millisecond)
 	rate := float64(tokens) / (float64(took) / float64(time.Millisecond))
-	l.balancer.observeRate(l.state, rate, l.first)
+	l.balancer.recordPrefillRate(l.state, rate, l.firstTokenAt)
 }
 
-// Release gives the place back with what became of the request.
+// Release returns the slot and records the outcome of the request.
 func (l *Lease) Release(result Result) {
 	l.end(result, false)
 }
 
-// Cancel gives the place back without a request having been sent; nothing is learnt
-// from it.
+// Cancel returns the slot of a request that was never sent; nothing is learnt from it.
 func (l *Lease) Cancel() {
 	l.end(Result{}, true)
 }
 
-// end gives the place back to the balancer and to its owner.
+// end returns the slot to the balancer and to its owner.
 func (l *Lease) end(result Result, unused bool) {
 	b := l.balancer
 	b.mu.Lock()
 	b.release(l, result, unused)
 	b.mu.Unlock()
-	if l.place != 0 {
-		b.Places.Give(l.place, result.Unreachable)
+	if l.grantID != 0 {
+		b.Places.Give(l.grantID, result.Unreachable)
 	}
 }
 
-// release frees a place; unused says that the request was never sent.
+// release frees a slot; unused says that the request was never sent. The lock is held.
 func (b *Balancer) release(l *Lease, result Result, unused bool) {
 	now := b.Clock.Now()
-	l.state.own.requests--
+	l.state.local.requests--
 	l.state.ownerLoad--
 	l.state.endPrefill(l)
-	b.report(l, result, unused)
+	b.reportToRollouts(l, result, unused)
 	if !unused {
-		l.state.noteResult(now, result.Failed)
+		l.state.recordResult(now, result.Failed)
 		switch {
 		case result.Gone:
-			l.state.noteGone(now)
+			l.state.backOffReusedAddress(now)
 		case result.Unreachable:
-			l.state.noteUnreachable(now)
-			b.suspectAfterRest(l, now)
+			l.state.backOff(now)
+			b.markMaybeColdAfterBackoff(l, now)
 		case !result.Failed:
-			l.state.noteReached()
-			l.observeEnd(now, result)
+			l.state.clearBackoff()
+			l.observeCompletion(now, result)
 		}
 	}
 	if p := b.pools[l.need.Pool]; p != nil {
-		b.pump(p, now)
+		b.dispatch(p, now)
 	}
 }
 
-// observeEnd learns the speed of a whole answer.
-func (l *Lease) observeEnd(now time.Time, result Result) {
+// observeCompletion records the duration of a successful request and the time per token.
+func (l *Lease) observeCompletion(now time.Time, result Result) {
 	if l.need.PromptTokens == 0 {
-		l.state.work = time.Duration(learn(float64(l.state.work), float64(now.Sub(l.granted))))
+		l.state.meanCallTime = time.Duration(updateMean(float64(l.state.meanCallTime), float64(now.Sub(l.grantedAt))))
 		return
 	}
-	l.state.stay = time.Duration(learn(float64(l.state.stay), float64(now.Sub(l.granted))))
-	spec := l.balancer.engine(l.need.Pool)
-	if l.first.IsZero() || result.Events < leastPaceEvents || spec == nil {
+	l.state.holdTime = time.Duration(updateMean(float64(l.state.holdTime), float64(now.Sub(l.grantedAt))))
+	spec := l.balancer.engineSpec(l.need.Pool)
+	if l.firstTokenAt.IsZero() || result.Events < minStepSampleEvents || spec == nil {
 		return
 	}
 	tokens := (result.Events - 1) * max(spec.TokensPerEvent, 1)
-	step := float64(now.Sub(l.first)) / float64(tokens)
-	l.balancer.observeStep(l.state, time.Duration(step), now)
+	step := float64(now.Sub(l.firstTokenAt)) / float64(tokens)
+	l.balancer.recordStep(l.state, time.Duration(step), now)
 }
 
-func (b *Balancer) engine(name shelfshelf.PoolName) *shelfshelf.EngineSpec {
+func (b *Balancer) engineSpec(name shelfshelf.PoolName) *shelfshelf.EngineSpec {
 	if p := b.pools[name]; p != nil {
 		return p.spec.Engine
 	}
--- a/balance/loads.go
+++ b/balance/loads.go
@@ -7,97 +7,97 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-// Own returns what this instance has in flight.
+// Own returns the load of this instance.
 func (b *Balancer) Own() []shelfshelf.TargetLoad {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var loads []shelfshelf.TargetLoad
 	for _, t := range b.keys {
-		t.ownTold = t.own
-		if t.own.requests > 0 {
-			loads = append(loads, t.told(t.own))
+		t.reportedLocal = t.local
+		if t.local.requests > 0 {
+			loads = append(loads, t.toTargetLoad(t.local))
 		}
 	}
 	return loads
 }
 
-// Centre returns what the instances of this data centre have in flight.
+// Centre returns the load of all instances of this data centre.
 func (b *Balancer) Centre() []shelfshelf.TargetLoad {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.Clock.Now()
 	var loads []shelfshelf.TargetLoad
 	for _, t := range b.keys {
-		if sum := t.centreLoad(now); sum.requests > 0 {
-			loads = append(loads, t.told(sum))
+		if sum := t.sumDataCentreLoad(now); sum.requests > 0 {
+			loads = append(loads, t.toTargetLoad(sum))
 		}
 	}
 	return loads
 }
 
-// Heard takes what another instance of this data centre has in flight.
+// Heard handles the reported load of another instance of this data centre.
 func (b *Balancer) Heard(from shelfshelf.InstanceID, loads []shelfshelf.TargetLoad) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.Clock.Now()
-	for _, t := range b.peersUse[from] {
-		delete(t.peers, from)
+	for _, t := range b.peerTargets[from] {
+		delete(t.peerLoads, from)
 	}
-	used := b.used(b.peersUse[from], loads)
-	for i, t := range used {
-		t.peers[from] = newToldLoad(loads[i], now)
+	updated := b.resolveTargets(b.peerTargets[from], loads)
+	for i, t := range updated {
+		t.peerLoads[from] = newReportedLoad(loads[i], now)
 	}
-	if b.peersUse == nil {
-		b.peersUse = make(map[shelfshelf.InstanceID][]*targetState)
+	if b.peerTargets == nil {
+		b.peerTargets = make(map[shelfshelf.InstanceID][]*targetState)
 	}
-	b.peersUse[from] = used
-	b.pumpAll(now)
+	b.peerTargets[from] = updated
+	b.dispatchAll(now)
 }
 
-// HeardCentre takes what another data centre has in flight.
+// HeardCentre handles the digest of a data centre.
 func (b *Balancer) HeardCentre(digest shelfshelf.Digest) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.Clock.Now()
 	from := digest.DataCentre
 	if from == b.DataCentre {
-		b.heardOwnCentre(digest, now)
+		b.setDataCentreLoads(digest, now)
 		return
 	}
-	for _, t := range b.remotesUse[from] {
-		delete(t.remotes, from)
+	for _, t := range b.remoteTargets[from] {
+		delete(t.remoteLoads, from)
 	}
-	// The digest is passed on to others meanwhile, and stays as it is.
+	// The digest is forwarded to others concurrently and must not be modified.
 	loads := slices.Clone(digest.Loads)
-	used := b.used(b.remotesUse[from], loads)
-	for i, t := range used {
-		t.remotes[from] = newToldLoad(loads[i], now.Add(-digest.Age))
+	updated := b.resolveTargets(b.remoteTargets[from], loads)
+	for i, t := range updated {
+		t.remoteLoads[from] = newReportedLoad(loads[i], now.Add(-digest.Age))
 	}
-	if b.remotesUse == nil {
-		b.remotesUse = make(map[shelfshelf.DataCentre][]*targetState)
+	if b.remoteTargets == nil {
+		b.remoteTargets = make(map[shelfshelf.DataCentre][]*targetState)
 	}
-	b.remotesUse[from] = used
-	b.takeSpeeds(digest.Speeds, now)
-	b.pumpAll(now)
+	b.remoteTargets[from] = updated
+	b.mergeRemoteSpeeds(digest.Speeds, now)
+	b.dispatchAll(now)
 }
 
-// heardOwnCentre takes the sums of this data centre; the lock is held.
-func (b *Balancer) heardOwnCentre(digest shelfshelf.Digest, now time.Time) {
+// setDataCentreLoads handles the total loads of this data centre; the lock is held.
+func (b *Balancer) setDataCentreLoads(digest shelfshelf.Digest, now time.Time) {
 	for _, t := range b.keys {
-		t.centre = toldLoad{at: now.Add(-digest.Age)}
+		t.dataCentreLoad = reportedLoad{at: now.Add(-digest.Age)}
 	}
-	for _, told := range digest.Loads {
-		if t := b.keys[told.Target]; t != nil {
-			t.centre = newToldLoad(told, now.Add(-digest.Age))
+	for _, report := range digest.Loads {
+		if t := b.keys[report.Target]; t != nil {
+			t.dataCentreLoad = newReportedLoad(report, now.Add(-digest.Age))
 		}
 	}
-	b.takeSpeeds(digest.Speeds, now)
-	b.pumpAll(now)
+	b.mergeRemoteSpeeds(digest.Speeds, now)
+	b.dispatchAll(now)
 }
 
-// used returns the targets that loads are of and moves the loads of unknown ones to the
-// end; the lock is held. The list is made in the place of an older one.
-func (b *Balancer) used(list []*targetState, loads []shelfshelf.TargetLoad) []*targetState {
+// resolveTargets returns the targets of the reported loads and moves the loads of unknown targets
+// to the end; the lock is held. It reuses the memory of an old list.
+func (b *Balancer) resolveTargets(list []*targetState, loads []shelfshelf.TargetLoad) []*targetState {
 	list = list[:0]
 	for i, load := range loads {
 		if t := b.keys[load.Target]; t != nil {
@@ -108,23 +108,23 @@
 	return list
 }
 
-// forgetSilent drops what instances said that have been silent for long; the lock is
-// held.
-func (b *Balancer) forgetSilent(now time.Time) {
-	for from, used := range b.peersUse {
-		silent := true
-		for _, t := range used {
-			if now.Sub(t.peers[from].at) < toldLoadKept {
-				silent = false
+// dropStaleReports drops the loads of instances that have sent no report for a long time; the lock
+// is held.
+func (b *Balancer) dropStaleReports(now time.Time) {
+	for from, reported := range b.peerTargets {
+		stale := true
+		for _, t := range reported {
+			if now.Sub(t.peerLoads[from].at) < reportedLoadTTL {
+				stale = false
 				break
 			}
 		}
-		if !silent {
+		if !stale {
 			continue
 		}
-		for _, t := range used {
-			delete(t.peers, from)
+		for _, t := range reported {
+			delete(t.peerLoads, from)
 		}
-		delete(b.peersUse, from)
+		delete(b.peerTargets, from)
 	}
 }
--- a/balance/owner_only.go
+++ b/balance/owner_only.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// silentOwnerPause is how long the owner of a target with a limit is not asked again that
-	// has not answered: each ask costs a request up to 40 ms, and the target stays its own
-	// until the others no longer hear it.
-	silentOwnerPause = 250 * time.Millisecond
-	// leastAskPause keeps a waiting request from asking an owner without a pause.
-	leastAskPause = time.Millisecond
+	// silentOwnerBackoff is how long the owner of a target with a limit is not asked again after it
+	// has failed to answer. Each ask costs a request up to 40 ms, and the owner stays responsible
+	// for the target until the other instances no longer hear from it.
+	silentOwnerBackoff = 250 * time.Millisecond
+	// minAskInterval keeps a waiting request from asking an owner in a busy loop.
+	minAskInterval = time.Millisecond
 )
 
-// limited reports that the target has announced a limit, as far as is known here.
-func (t *targetState) limited() bool { return t.said.Limit.Named }
+// hasLimit reports whether the target has announced a limit, as far as this instance knows.
+func (t *targetState) hasLimit() bool { return t.announcement.Limit.Named }
 
-// WordChanged takes what a target has newly said of itself.
+// WordChanged reloads what a target has announced about itself.
 func (b *Balancer) WordChanged(key shelfshelf.TargetKey) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -28,23 +28,22 @@
 	if t == nil {
 		return
 	}
-	before := t.said
-	b.recallWord(t)
+	before := t.announcement
+	b.loadAnnouncement(t)
 	p := b.pools[t.target.Pool]
 	if p == nil {
 		return
 	}
-	if t.said.Leaving && !before.Leaving {
-		p.relist(t)
+	if t.announcement.Leaving && !before.Leaving {
+		p.replaceListed(t)
 	}
-	if before.Limit.Named && !t.limited() {
-		b.pump(p, b.Clock.Now())
+	if before.Limit.Named && !t.hasLimit() {
+		b.dispatch(p, b.Clock.Now())
 	}
 }
 
-// relist puts a target into the list as it now stands; those who were given the list keep the
-// old one.
-func (p *pool) relist(t *targetState) {
+// replaceListed updates a target in a copy of the list, since callers may hold the old list.
+func (p *pool) replaceListed(t *targetState) {
 	p.listed = slices.Clone(p.listed)
 	for i, listed := range p.listed {
 		if listed.Name == t.target.Name {
@@ -53,20 +52,20 @@
 	}
 }
 
-// recallWord notes what a target has said of itself; the lock is held.
-func (b *Balancer) recallWord(t *targetState) {
+// loadAnnouncement reads what a target has announced about itself; the lock is held.
+func (b *Balancer) loadAnnouncement(t *targetState) {
 	if b.Announced == nil {
 		return
 	}
-	t.said = b.Announced.Said(t.key)
-	// The entry may say it later than the target's answers, or never while the store is away.
-	t.target.Leaving = t.target.Leaving || t.said.Leaving
-	if !t.paced() {
-		t.pacedUntil = time.Time{}
+	t.announcement = b.Announced.Said(t.key)
+	// The target's entry may say so later than its answers, or never if the store is unavailable.
+	t.target.Leaving = t.target.Leaving || t.announcement.Leaving
+	if !t.ownerOnly() {
+		t.askOwnerAfter = time.Time{}
 	}
 }
 
-// Where returns the data centre of a target; false if it is unknown.
+// Where returns the data centre of a target; false if the target is unknown.
 func (b *Balancer) Where(key shelfshelf.TargetKey) (shelfshelf.DataCentre, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -76,46 +75,46 @@
 	return "", false
 }
 
-// acquirePlain waits for a place at a plain service. Its targets need no owner but for those
-// that are paced, by one instance for all.
-func (b *Balancer) acquirePlain(ctx context.Context, need Need) (lease *Lease, err error) {
-	a := b.newAsking(need)
-	some, only := a.paces()
+// acquireService waits for a slot at a plain service. Its targets need no owner, except for the
+// owner-only ones, whose slots one instance grants for all.
+func (b *Balancer) acquireService(ctx context.Context, need Need) (lease *Lease, err error) {
+	a := b.newOwnerAcquisition(need)
+	some, all := a.ownerOnlyTargets()
 	if !some {
-		return b.acquireAlone(ctx, need)
+		return b.acquireLocally(ctx, need)
 	}
-	defer func() { a.leaveLines(lease != nil) }()
-	lease = a.askWhile(ctx, a.chooseIfPaced)
+	defer func() { a.leaveQueues(lease != nil) }()
+	lease = a.askUntilGranted(ctx, a.chooseIfOwnerOnly)
 	switch {
 	case lease != nil:
 		return lease, nil
 	case ctx.Err() != nil:
 		return nil, ctx.Err()
-	case only:
-		return a.wait(ctx)
+	case all:
+		return a.awaitGrant(ctx)
 	}
-	return b.acquireAlone(ctx, need)
+	return b.acquireLocally(ctx, need)
 }
 
-// onlyPaced reports that all targets that the request may go to are paced.
-func (a *asking) onlyPaced() bool {
-	_, only := a.paces()
-	return only
+// allOwnerOnly reports whether all targets that may serve the request are owner-only.
+func (a *ownerAcquisition) allOwnerOnly() bool {
+	_, all := a.ownerOnlyTargets()
+	return all
 }
 
-// retryAfter is when a refused caller may come back: not before a target that is paced has room
-// again where the request may go to no other.
-func (a *asking) retryAfter() time.Duration {
-	after := a.balancer.comeBack(a.need)
-	if !a.onlyPaced() {
+// retryAfter returns the retry delay for a refused caller. If all targets that may serve the
+// request are owner-only, it is not before one of them may have a free slot.
+func (a *ownerAcquisition) retryAfter() time.Duration {
+	after := a.balancer.refusalRetryAfter(a.need)
+	if !a.allOwnerOnly() {
 		return after
 	}
-	return max(after, min(a.untilRoom(), longestRetryAfter))
+	return max(after, min(a.timeUntilRetry(), maxRetryAfter))
 }
 
-// paces reports whether some, and whether all, of the targets that the request may go to are
-// paced.
-func (a *asking) paces() (some, only bool) {
+// ownerOnlyTargets reports whether some, and whether all, of the targets that may serve the request
+// are owner-only.
+func (a *ownerAcquisition) ownerOnlyTargets() (some, all bool) {
 	b := a.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -123,19 +122,19 @@
 	if p == nil || b.Places == nil {
 		return false, false
 	}
-	only = true
+	all = true
 	for _, t := range p.targets {
-		if t.fits(a.need) {
-			some = some || t.paced()
-			only = only && t.paced()
+		if t.eligible(a.need) {
+			some = some || t.ownerOnly()
+			all = all && t.ownerOnly()
 		}
 	}
-	return some, some && only
+	return some, some && all
 }
 
-// askWhile asks the owners of the targets that are chosen, one after the other.
-func (a *asking) askWhile(ctx context.Context, choose func() *targetState) *Lease {
-	for range asksAtMost {
+// askUntilGranted asks the owners of the targets that choose returns, one after the other.
+func (a *ownerAcquisition) askUntilGranted(ctx context.Context, choose func() *targetState) *Lease {
+	for range maxOwnerAsks {
 		t := choose()
 		if t == nil {
 			return nil
@@ -147,41 +146,43 @@
 	return nil
 }
 
-// chooseIfPaced returns a paced target of a plain service that does well enough for
-// the request, else the best target if it is a paced one. Those that do well enough go
-// first: one of 36 instances hears of a target of 1.5 a second every 24 s, so that a single
-// slow answer kept it from its due (2 to 4 of 12 requests, simulated).
-func (a *asking) chooseIfPaced() *targetState {
-	safe := time.Duration(safeShare * float64(a.need.Goal))
-	best := a.chooseFrom(func(t *targetState, now time.Time) bool {
+// chooseIfOwnerOnly returns an owner-only target of a plain service whose cost is within the safe
+// share of the goal; otherwise the best target if that is owner-only. Owner-only targets within the
+// safe share come first even if others cost less: each of 36 instances observes a target with 1.5
+// requests per second only every 24 s, so a single slow answer kept it below its rate for long (2
+// to 4 of 12 requests, simulated).
+func (a *ownerAcquisition) chooseIfOwnerOnly() *targetState {
+	safe := time.Duration(safeGoalShare * float64(a.need.Goal))
+	best := a.chooseBest(func(t *targetState, now time.Time) bool {
 		b := a.balancer
-		return t.paced() && !slices.Contains(a.tried, t) && b.cost(b.pools[a.need.Pool], t, a.need, now) <= safe
+		return t.ownerOnly() && !slices.Contains(a.tried, t) && b.cost(b.pools[a.need.Pool], t, a.need, now) <= safe
 	})
 	if best == nil {
-		best = a.chooseFrom(func(t *targetState, now time.Time) bool {
-			return (t.paced() || t.usable(a.need, now)) && !slices.Contains(a.tried, t)
+		best = a.chooseBest(func(t *targetState, now time.Time) bool {
+			return (t.ownerOnly() || t.assignable(a.need, now)) && !slices.Contains(a.tried, t)
 		})
 	}
-	if best == nil || !best.paced() {
+	if best == nil || !best.ownerOnly() {
 		return nil
 	}
 	a.tried = append(a.tried, best)
 	return best
 }
 
-// choosePaced returns the best of the paced targets that a waiting request asks.
-func (a *asking) choosePaced() *targetState {
-	return a.try(func(t *targetState) bool { return a.asksAgain(t) })
+// chooseRetry returns the best of the owner-only targets that a waiting request asks again.
+func (a *ownerAcquisition) chooseRetry() *targetState {
+	return a.chooseAndMark(func(t *targetState) bool { return a.retriable(t) })
 }
 
-// asksAgain reports that a waiting request asks for a place at a target once there may be room: at one
-// with a limit wherever it waits, at one that may turn cold only while it stands in no line.
-func (a *asking) asksAgain(t *targetState) bool {
-	return (t.limited() || t.paced() && len(a.waits) == 0) && !a.waitsAt(t)
+// retriable reports whether a waiting request asks for a slot at a target again once one may be
+// free: always at a target with a limit, and at one that may turn cold only while the request is in
+// no queue. Targets in whose queue it already waits are skipped.
+func (a *ownerAcquisition) retriable(t *targetState) bool {
+	return (t.hasLimit() || t.ownerOnly() && len(a.queuedAsks) == 0) && !a.queuedAt(t)
 }
 
-func (a *asking) waitsAt(t *targetState) bool {
-	for _, other := range a.waits {
+func (a *ownerAcquisition) queuedAt(t *targetState) bool {
+	for _, other := range a.queuedAsks {
 		if other == t {
 			return true
 		}
@@ -189,29 +190,30 @@
 	return false
 }
 
-// again returns a channel that receives once a paced target may have room for another
-// request; nil where there is none.
-func (a *asking) again() <-chan time.Time {
-	soonest := a.soonestRoom()
+// retryTimer returns a channel that receives when an owner-only target may have a free slot; nil if
+// there is no such target.
+func (a *ownerAcquisition) retryTimer() <-chan time.Time {
+	soonest := a.nextRetryAt()
 	if soonest.IsZero() {
 		return nil
 	}
 	now := a.balancer.Clock.Now()
-	return a.balancer.Clock.After(max(soonest.Sub(now), leastAskPause))
+	return a.balancer.Clock.After(max(soonest.Sub(now), minAskInterval))
 }
 
-// untilRoom is how long it takes until a paced target may have room; 0 where there is none.
-func (a *asking) untilRoom() time.Duration {
-	soonest := a.soonestRoom()
+// timeUntilRetry is how long it takes until an owner-only target may have a free slot; 0 if there
+// is no such target.
+func (a *ownerAcquisition) timeUntilRetry() time.Duration {
+	soonest := a.nextRetryAt()
 	if soonest.IsZero() {
 		return 0
 	}
 	return soonest.Sub(a.balancer.Clock.Now())
 }
 
-// soonestRoom returns when the first of the paced targets that a waiting request asks may be asked
-// again; zero where there is none.
-func (a *asking) soonestRoom() time.Time {
+// nextRetryAt returns when the first of the owner-only targets that a waiting request asks again
+// may be asked; zero if there is no such target.
+func (a *ownerAcquisition) nextRetryAt() time.Time {
 	b := a.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -221,10 +223,10 @@
 		return soonest
 	}
 	for _, t := range p.targets {
-		if !a.asksAgain(t) || !t.fits(a.need) {
+		if !a.retriable(t) || !t.eligible(a.need) {
 			continue
 		}
-		at := t.openAt()
+		at := t.availableAt()
 		if soonest.IsZero() || at.Before(soonest) {
 			soonest = at
 		}
@@ -232,11 +234,11 @@
 	return soonest
 }
 
-// passBy gives up an ask of a target with a limit whose owner doesn't answer, and leaves the
-// target alone for a while.
-func (a *asking) passBy(t *targetState, id shelfshelf.PlaceID) *Lease {
-	a.resting++
+// skipSilentOwner gives up an ask of an owner-only target whose owner doesn't answer, and backs off
+// from the target for a while.
+func (a *ownerAcquisition) skipSilentOwner(t *targetState, id shelfshelf.PlaceID) *Lease {
+	a.unavailable++
 	a.balancer.Places.Leave(id, false)
-	a.balancer.hearRest(t, silentOwnerPause)
+	a.balancer.recordBackoff(t, silentOwnerBackoff)
 	return nil
 }
--- a/balance/prefix_index.go
+++ b/balance/prefix_index.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// maxPlacedParts bounds how many parts of prompts are remembered.
-	maxPlacedParts = 20000
-	// placementKept is how long a target is thought to hold a part after its last
-	// use; memory that is needed elsewhere gives way earlier.
-	placementKept = time.Minute
-	// holdersPerPart is how many holders of one part are remembered.
+	// maxCachedParts bounds how many prompt parts are remembered.
+	maxCachedParts = 20000
+	// cachedPartTTL is how long a target is assumed to have a part cached after its last use. A
+	// target that needs the memory evicts the part earlier.
+	cachedPartTTL = time.Minute
+	// holdersPerPart is how many targets are remembered for one part.
 	holdersPerPart = 4
 )
 
-// placements remembers which targets have read which parts of prompts.
-type placements struct {
+// prefixIndex remembers which targets have recently prefilled which prompt parts.
+type prefixIndex struct {
 	holders map[string][]holder
 }
 
@@ -26,10 +26,10 @@
 	at     time.Time
 }
 
-// add notes that a target has read a part; the newest holder stands first.
-func (p *placements) add(now time.Time, part string, target shelfshelf.TargetName) {
-	if p.holders == nil || len(p.holders) >= maxPlacedParts {
-		// Starting anew loses only time that a cached prompt would have saved.
+// add records that a target has prefilled a part; the newest holder comes first.
+func (p *prefixIndex) add(now time.Time, part string, target shelfshelf.TargetName) {
+	if p.holders == nil || len(p.holders) >= maxCachedParts {
+		// Clearing the index costs only the time that cached prompts would have saved.
 		p.holders = make(map[string][]holder)
 	}
 	list := []holder{{target: target, at: now}}
@@ -41,8 +41,8 @@
 	p.holders[part] = list
 }
 
-// held returns how many of a prompt's first tokens a target is thought to hold.
-func (p *placements) held(now time.Time, prompt []shelfshelf.PromptPart, target shelfshelf.TargetName) int {
+// cachedTokens estimates how many tokens at the start of a prompt a target has cached.
+func (p *prefixIndex) cachedTokens(now time.Time, prompt []shelfshelf.PromptPart, target shelfshelf.TargetName) int {
 	if n := len(prompt); n > 0 && p.holds(now, prompt[n-1].ID, target) {
 		total := 0
 		for _, part := range prompt {
@@ -60,17 +60,17 @@
 	return tokens
 }
 
-func (p *placements) holds(now time.Time, part string, target shelfshelf.TargetName) bool {
+func (p *prefixIndex) holds(now time.Time, part string, target shelfshelf.TargetName) bool {
 	for _, h := range p.holders[part] {
 		if h.target == target {
-			return now.Sub(h.at) < placementKept
+			return now.Sub(h.at) < cachedPartTTL
 		}
 	}
 	return false
 }
 
-// forget drops a target that is gone.
-func (p *placements) forget(gone map[shelfshelf.TargetName]bool) {
+// forget drops targets that no longer exist.
+func (p *prefixIndex) forget(gone map[shelfshelf.TargetName]bool) {
 	for part, list := range p.holders {
 		var kept []holder
 		for _, h := range list {
--- a/balance/queue.go
+++ b/balance/queue.go
@@ -9,25 +9,25 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-// waiter is a request in line.
+// waiter is a queued request.
 type waiter struct {
-	need  Need
-	lease chan *Lease
+	need    Need
+	granted chan *Lease
 }
 
-// wait waits until a request in line gets its place or has to be refused.
-func (b *Balancer) wait(ctx context.Context, w *waiter) (*Lease, error) {
+// awaitGrant waits until a queued request gets a slot or must be refused.
+func (b *Balancer) awaitGrant(ctx context.Context, w *waiter) (*Lease, error) {
 	timeout := b.Clock.After(w.need.WaitUntil.Sub(b.Clock.Now()))
 	select {
-	case lease := <-w.lease:
+	case lease := <-w.granted:
 		return lease, nil
 	case <-ctx.Done():
 	case <-timeout:
 	}
-	b.leaveLine(w)
+	b.leaveQueue(w)
 	select {
-	case lease := <-w.lease:
-		// The place came in the same moment.
+	case lease := <-w.granted:
+		// The grant arrived at the same moment.
 		if ctx.Err() == nil {
 			return lease, nil
 		}
@@ -37,10 +37,10 @@
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	return nil, &Refusal{Reason: shelfshelf.RefusedShed, RetryAfter: b.comeBack(w.need)}
+	return nil, &Refusal{Reason: shelfshelf.RefusedShed, RetryAfter: b.refusalRetryAfter(w.need)}
 }
 
-func (b *Balancer) leaveLine(w *waiter) {
+func (b *Balancer) leaveQueue(w *waiter) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if p := b.pools[w.need.Pool]; p != nil {
@@ -48,17 +48,17 @@
 	}
 }
 
-// retryAfter is when a refused caller may come back: a shortage lasts for some
-// seconds, and callers that all come back at once would meet it again.
+// retryAfter returns the retry delay for a refused caller. It has jitter: a shortage lasts some
+// seconds, and callers that all retry at the same time would cause it again.
 func retryAfter(need Need) time.Duration {
-	after := time.Duration(retryGoals * float64(need.Goal) * (retryLeast + retrySpread*rand.Float64()))
-	return min(max(after, shortestRetryAfter), longestRetryAfter)
+	after := time.Duration(retryAfterGoals * float64(need.Goal) * (retryAfterMinFactor + retryAfterJitter*rand.Float64()))
+	return min(max(after, minRetryAfter), maxRetryAfter)
 }
 
-// ahead counts the requests in line that go before a new one.
-func (p *pool) ahead(need Need) int {
+// countAhead counts the queued requests that go before a new one.
+func (p *pool) countAhead(need Need) int {
 	count := 0
-	for _, w := range p.line {
+	for _, w := range p.queue {
 		if compareNeeds(w.need, need) <= 0 {
 			count++
 		}
@@ -66,31 +66,31 @@
 	return count
 }
 
-func (p *pool) insert(w *waiter) {
-	at := p.ahead(w.need)
-	p.line = slices.Insert(p.line, at, w)
+func (p *pool) enqueue(w *waiter) {
+	at := p.countAhead(w.need)
+	p.queue = slices.Insert(p.queue, at, w)
 }
 
-// wake starts the loop that tries waiting requests again; the lock is held.
-func (b *Balancer) wake() {
+// wakeDispatcher wakes the loop that dispatches queued requests; the lock is held.
+func (b *Balancer) wakeDispatcher() {
 	select {
-	case b.woken() <- struct{}{}:
+	case b.wakeupChannel() <- struct{}{}:
 	default:
 	}
 }
 
-// woken returns the channel that wakes the loop; the lock is held.
-func (b *Balancer) woken() chan struct{} {
-	if b.waking == nil {
-		b.waking = make(chan struct{}, 1)
+// wakeupChannel returns the channel that wakes the loop; the lock is held.
+func (b *Balancer) wakeupChannel() chan struct{} {
+	if b.wakeups == nil {
+		b.wakeups = make(chan struct{}, 1)
 	}
-	return b.waking
+	return b.wakeups
 }
 
-// waitsAlone reports that a request waits that no owner gives a place; the lock is held.
-func (b *Balancer) waitsAlone() bool {
+// hasQueued reports whether a request waits in a queue of this instance; the lock is held.
+func (b *Balancer) hasQueued() bool {
 	for _, p := range b.pools {
-		if len(p.line) > 0 {
+		if len(p.queue) > 0 {
 			return true
 		}
 	}
@@ -98,13 +98,13 @@
 }
 
 func (p *pool) remove(w *waiter) {
-	if at := slices.Index(p.line, w); at >= 0 {
-		p.line = slices.Delete(p.line, at, at+1)
+	if at := slices.Index(p.queue, w); at >= 0 {
+		p.queue = slices.Delete(p.queue, at, at+1)
 	}
 }
 
-// compareNeeds orders the line: begun requests first, then customers' ranks, tiers
-// and arrival.
+// compareNeeds orders the queue: begun requests first, then by the customer's rank, tier and
+// arrival.
 func compareNeeds(a, b Need) int {
 	if a.Begun != b.Begun {
 		if a.Begun {
@@ -121,67 +121,67 @@
 	return a.Arrived.Compare(b.Arrived)
 }
 
-// pump gives places to waiting requests in their order; the lock is held.
-func (b *Balancer) pump(p *pool, now time.Time) {
-	for len(p.line) > 0 {
-		w := p.line[0]
-		lease := b.place(p, w.need, now)
+// dispatch grants slots to queued requests in order; the lock is held.
+func (b *Balancer) dispatch(p *pool, now time.Time) {
+	for len(p.queue) > 0 {
+		w := p.queue[0]
+		lease := b.tryGrant(p, w.need, now)
 		if lease == nil {
 			return
 		}
-		p.line = p.line[1:]
-		w.lease <- lease
+		p.queue = p.queue[1:]
+		w.granted <- lease
 	}
 }
 
-// Run tries waiting requests again as the others' loads change.
+// Run dispatches queued requests as the reported loads change, until the context ends.
 func (b *Balancer) Run(ctx context.Context) error {
-	return b.loopPump(ctx)
+	return b.dispatchLoop(ctx)
 }
 
-// loopPump sleeps while nobody waits: with a timer all the time, 295 idle instances woke
-// 29,500 times a second.
-func (b *Balancer) loopPump(ctx context.Context) error {
+// dispatchLoop runs a timer only while requests are queued: with a permanent timer, 295 idle
+// instances woke 29,500 times per second in total.
+func (b *Balancer) dispatchLoop(ctx context.Context) error {
 	b.mu.Lock()
-	woken := b.woken()
+	woken := b.wakeupChannel()
 	b.mu.Unlock()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case <-woken:
-			b.pumpWhileWaiting(ctx)
+			b.dispatchWhileQueued(ctx)
 		}
 	}
 	return nil
 }
 
-func (b *Balancer) pumpWhileWaiting(ctx context.Context) {
-	for waits := true; waits; {
+func (b *Balancer) dispatchWhileQueued(ctx context.Context) {
+	for queued := true; queued; {
 		select {
 		case <-ctx.Done():
 			return
-		case <-b.Clock.After(pumpPeriod):
+		case <-b.Clock.After(dispatchInterval):
 		}
 		b.mu.Lock()
-		b.pumpAll(b.Clock.Now())
-		waits = b.waitsAlone()
+		b.dispatchAll(b.Clock.Now())
+		queued = b.hasQueued()
 		b.mu.Unlock()
 	}
 }
 
-func (b *Balancer) pumpAll(now time.Time) {
+func (b *Balancer) dispatchAll(now time.Time) {
 	for _, p := range b.pools {
-		b.pump(p, now)
+		b.dispatch(p, now)
 	}
 }
 
-// Waiting returns how many requests stand in line.
+// Waiting returns how many requests are queued, here and at owners.
 func (b *Balancer) Waiting() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	count := int(b.waitingOwned.Load())
+	count := int(b.waitingAtOwners.Load())
 	for _, p := range b.pools {
-		count += len(p.line)
+		count += len(p.queue)
 	}
 	return count
 }
--- a/balance/shares.go
+++ b/balance/shares.go
@@ -9,38 +9,37 @@
 )
 
 const (
-	// sharesHalfLife is how fast the served shares of tiers are forgotten: a shortage
-	// comes and goes within some seconds.
-	sharesHalfLife = 2 * time.Second
-	// leastOffered is how many requests a tier must have had lately for its share to
-	// mean anything.
-	leastOffered = 4
-	// leastRefused is how many of them must have been refused: one that found no place by
+	// servedShareHalfLife is the half-life of the counts behind the served shares of tiers. A
+	// shortage lasts only some seconds.
+	servedShareHalfLife = 2 * time.Second
+	// minOffered is how many recent requests a tier needs for its share to be meaningful.
+	minOffered = 4
+	// minRefused is how many of them must have been refused. A single request that found no slot by
 	// chance is no shortage.
-	leastRefused = 1.5
-	// shareMargin is how much more of its requests a lower tier may be served than a
-	// higher one before some are refused at once.
+	minRefused = 1.5
+	// shareMargin is by how much the served share of a lower tier may exceed that of a higher one
+	// before some of its requests are refused at once.
 	shareMargin = 0.03
 )
 
-// servedShare returns the served part of a tier's requests lately; 1 where there were too
+// servedShare returns the share of a tier's recent requests that were served; 1 if there were too
 // few to tell.
 func servedShare(s *decay.Share, now time.Time) float64 {
-	s.Fade(now, sharesHalfLife)
-	if s.Offered < leastOffered || s.Offered-s.Served < leastRefused {
+	s.Fade(now, servedShareHalfLife)
+	if s.Offered < minOffered || s.Offered-s.Served < minRefused {
 		return 1
 	}
 	return s.Served / s.Offered
 }
 
-// shares is how well each tier of a pool was served lately, without what was refused to
-// even them out.
-type shares struct {
+// servedShares counts the recently served requests of each tier of a pool. Requests that were
+// refused to keep the order of tiers don't count.
+type servedShares struct {
 	tiers map[shelfshelf.Tier]*decay.Share
 }
 
-// note counts one request that was given a place or refused.
-func (s *shares) note(tier shelfshelf.Tier, served bool, now time.Time) {
+// record counts one request that was granted a slot or refused.
+func (s *servedShares) record(tier shelfshelf.Tier, served bool, now time.Time) {
 	if s.tiers == nil {
 		s.tiers = make(map[shelfshelf.Tier]*decay.Share)
 	}
@@ -49,18 +48,19 @@
 		t = &decay.Share{}
 		s.tiers[tier] = t
 	}
-	t.Fade(now, sharesHalfLife)
+	t.Fade(now, servedShareHalfLife)
 	t.Note(served)
 }
 
-// admitted returns the part of a tier's requests that may look for a place, so that
-// it is not served more often than the tiers above it. Places that its requests leave
-// go to those: a lower tier that needs little finds a place where a higher one doesn't.
-func (s *shares) admitted(tier shelfshelf.Tier, now time.Time) float64 {
+// admittedShare returns the share of a tier's requests that may look for a slot, so that the tier
+// is not served a larger share than the tiers above it. Otherwise a lower tier whose requests need
+// little would find slots where a higher one doesn't; the slots that it leaves go to the higher
+// tiers.
+func (s *servedShares) admittedShare(tier shelfshelf.Tier, now time.Time) float64 {
 	above := 1.0
 	for other, t := range s.tiers {
 		if other < tier {
-			above = min(above, servedShare(t, now)*s.admitted(other, now))
+			above = min(above, servedShare(t, now)*s.admittedShare(other, now))
 		}
 	}
 	own := 1.0
@@ -73,25 +73,25 @@
 	return (above + shareMargin) / own
 }
 
-// tooMany reports that a request is refused at once to keep the tiers' order.
-func (b *Balancer) tooMany(need Need) bool {
+// exceedsTierShare reports whether a request is refused at once to keep the order of tiers.
+func (b *Balancer) exceedsTierShare(need Need) bool {
 	if need.Begun || need.Tier == 0 {
 		return false
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := b.pools[need.Pool]
-	return p != nil && rand.Float64() >= p.shares.admitted(need.Tier, b.Clock.Now())
+	return p != nil && rand.Float64() >= p.servedShares.admittedShare(need.Tier, b.Clock.Now())
 }
 
-// noteShare counts what became of a request that looked for a place.
-func (b *Balancer) noteShare(need Need, served bool) {
+// recordServed counts the outcome of a request that looked for a slot.
+func (b *Balancer) recordServed(need Need, served bool) {
 	if need.Begun {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if p := b.pools[need.Pool]; p != nil {
-		p.shares.note(need.Tier, served, b.Clock.Now())
+		p.servedShares.record(need.Tier, served, b.Clock.Now())
 	}
 }
--- a/balance/speeds.go
+++ b/balance/speeds.go
@@ -8,52 +8,52 @@
 )
 
 const (
-	// maxObservations bounds what is kept for the next status.
+	// maxObservations bounds the observations kept for the next status message.
 	maxObservations = 64
-	// freshObservation is how old an observation of this data centre's own may be to go
-	// before another's word, and into its digests.
-	freshObservation = 5 * time.Second
+	// observationTTL is how long an observation made in this data centre takes precedence over
+	// those of other data centres and is included in digests.
+	observationTTL = 5 * time.Second
 )
 
-// observeRate learns how fast a target reads; the lock is held.
-func (b *Balancer) observeRate(t *targetState, rate float64, now time.Time) {
+// recordPrefillRate records an observed prefill rate of a target; the lock is held.
+func (b *Balancer) recordPrefillRate(t *targetState, rate float64, now time.Time) {
 	if !b.current(t) {
 		return
 	}
-	t.learnRate(rate, now)
-	b.keepObservation(shelfshelf.TargetSpeed{Target: t.key, PrefillRate: rate})
+	t.updatePrefillRate(rate, now)
+	b.appendObservation(shelfshelf.TargetSpeed{Target: t.key, PrefillRate: rate})
 }
 
-// observeStep learns how fast a target writes; the lock is held.
-func (b *Balancer) observeStep(t *targetState, step time.Duration, now time.Time) {
+// recordStep records an observed time per output token of a target; the lock is held.
+func (b *Balancer) recordStep(t *targetState, step time.Duration, now time.Time) {
 	if !b.current(t) {
 		return
 	}
-	t.learnStep(step, now)
-	b.keepObservation(shelfshelf.TargetSpeed{Target: t.key, Step: step})
+	t.updateStep(step, now)
+	b.appendObservation(shelfshelf.TargetSpeed{Target: t.key, Step: step})
 }
 
-// current reports that a target has not gone or started again since: what an earlier life
-// did teaches nothing of the one under its name. The lock is held.
+// current reports whether a target still exists and has not restarted. Observations of a previous
+// process don't apply to its successor of the same name. The lock is held.
 func (b *Balancer) current(t *targetState) bool { return b.keys[t.key] == t }
 
-func (b *Balancer) keepObservation(speed shelfshelf.TargetSpeed) {
+func (b *Balancer) appendObservation(speed shelfshelf.TargetSpeed) {
 	if len(b.observations) < maxObservations {
 		b.observations = append(b.observations, speed)
 	}
 }
 
-func (t *targetState) learnRate(rate float64, now time.Time) {
-	t.prefillRate = learn(t.prefillRate, rate)
+func (t *targetState) updatePrefillRate(rate float64, now time.Time) {
+	t.prefillRate = updateMean(t.prefillRate, rate)
 	t.rateAt = now
 }
 
-func (t *targetState) learnStep(step time.Duration, now time.Time) {
-	t.step = time.Duration(learn(float64(t.step), float64(step)))
+func (t *targetState) updateStep(step time.Duration, now time.Time) {
+	t.step = time.Duration(updateMean(float64(t.step), float64(step)))
 	t.stepAt = now
 }
 
-// Observations returns what was observed here since the last call.
+// Observations returns the observations of this instance since the last call.
 func (b *Balancer) Observations() []shelfshelf.TargetSpeed {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -62,8 +62,8 @@
 	return observations
 }
 
-// HeardSpeeds learns from observations of another instance of this data centre as
-// from its own.
+// HeardSpeeds records observations of another instance of this data centre like this instance's
+// own.
 func (b *Balancer) HeardSpeeds(speeds []shelfshelf.TargetSpeed) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -74,15 +74,15 @@
 			continue
 		}
 		if speed.PrefillRate > 0 {
-			t.learnRate(speed.PrefillRate, now)
+			t.updatePrefillRate(speed.PrefillRate, now)
 		}
 		if speed.Step > 0 {
-			t.learnStep(speed.Step, now)
+			t.updateStep(speed.Step, now)
 		}
 	}
 }
 
-// Speeds returns what this data centre has observed lately.
+// Speeds returns the recent observations of this data centre.
 func (b *Balancer) Speeds() []shelfshelf.TargetSpeed {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -90,10 +90,10 @@
 	var speeds []shelfshelf.TargetSpeed
 	for key, t := range b.keys {
 		speed := shelfshelf.TargetSpeed{Target: key}
-		if now.Sub(t.rateAt) < freshObservation {
+		if now.Sub(t.rateAt) < observationTTL {
 			speed.PrefillRate = t.prefillRate
 		}
-		if now.Sub(t.stepAt) < freshObservation {
+		if now.Sub(t.stepAt) < observationTTL {
 			speed.Step = t.step
 		}
 		if speed.PrefillRate > 0 || speed.Step > 0 {
@@ -103,22 +103,22 @@
 	return speeds
 }
 
-// takeSpeeds takes another data centre's word where this one has seen nothing
-// lately; the lock is held. Such a word does not count as an observation here, or
-// two data centres would tell it to each other for ever.
-func (b *Balancer) takeSpeeds(speeds []shelfshelf.TargetSpeed, now time.Time) {
+// mergeRemoteSpeeds uses another data centre's observations for targets that this one has not
+// observed recently; the lock is held. They don't count as recent observations here, or two data
+// centres would repeat them to each other forever.
+func (b *Balancer) mergeRemoteSpeeds(speeds []shelfshelf.TargetSpeed, now time.Time) {
 	for _, speed := range speeds {
 		t := b.keys[speed.Target]
 		if t == nil {
 			continue
 		}
-		if speed.PrefillRate > 0 && now.Sub(t.rateAt) > freshObservation {
+		if speed.PrefillRate > 0 && now.Sub(t.rateAt) > observationTTL {
 			t.prefillRate = speed.PrefillRate
-			t.rateAt = now.Add(-freshObservation)
+			t.rateAt = now.Add(-observationTTL)
 		}
-		if speed.Step > 0 && now.Sub(t.stepAt) > freshObservation {
+		if speed.Step > 0 && now.Sub(t.stepAt) > observationTTL {
 			t.step = speed.Step
-			t.stepAt = now.Add(-freshObservation)
+			t.stepAt = now.Add(-observationTTL)
 		}
 	}
 }
--- a/balance/target.go
+++ b/balance/target.go
@@ -8,175 +8,177 @@
 )
 
 const (
-	// startPrefillRate and startStep are what a target is taken to do before any was
-	// observed: prompt tokens a millisecond, and the time of one token.
-	startPrefillRate = 40.0
-	startStep        = 5 * time.Millisecond
-	// startWork is the same for a call of a plain service.
-	startWork = 30 * time.Millisecond
-	// learnShare is the weight of one observation in a moving mean.
-	learnShare = 0.15
-	// firstTokenFixed is the part of the time to a first token that doesn't depend on
-	// the prompt: the way there and back and the first step.
-	firstTokenFixed = 20 * time.Millisecond
-	// leastLearnTokens is how much prompt work an observation must have had to tell
-	// the speed of reading.
-	leastLearnTokens = 1500
-	// failureHalfLife is how fast failures are forgotten.
+	// defaultPrefillRate and defaultStep are assumed until a target has been observed: prompt
+	// tokens per millisecond, and the time per output token.
+	defaultPrefillRate = 40.0
+	defaultStep        = 5 * time.Millisecond
+	// defaultCallTime is the same for a call of a plain service.
+	defaultCallTime = 30 * time.Millisecond
+	// observationWeight is the weight of one observation in a moving average.
+	observationWeight = 0.15
+	// firstTokenOverhead is the part of the time to a first token that doesn't depend on the
+	// prompt: the round trip and the first decoding step.
+	firstTokenOverhead = 20 * time.Millisecond
+	// minRateSampleTokens is how many prompt tokens must have been prefilled for a sample of the
+	// prefill rate.
+	minRateSampleTokens = 1500
+	// failureHalfLife is the half-life of a target's failure share.
 	failureHalfLife = 3 * time.Second
-	// firstRest and lastRest bound how long a target that can't be reached rests.
-	firstRest = 250 * time.Millisecond
-	lastRest  = 2 * time.Second
-	// goneRest is how long a target rests whose address another one has.
-	goneRest = 30 * time.Second
-	// toldLoadKept is how long the load that others told still counts.
-	toldLoadKept = 1500 * time.Millisecond
+	// minBackoff and maxBackoff bound the backoff from an unreachable target.
+	minBackoff = 250 * time.Millisecond
+	maxBackoff = 2 * time.Second
+	// reusedAddressBackoff is the backoff from a target at whose address another one answers.
+	reusedAddressBackoff = 30 * time.Second
+	// reportedLoadTTL is how long a load reported by others counts.
+	reportedLoadTTL = 1500 * time.Millisecond
 )
 
-// targetState is what this instance knows of one target.
+// targetState is what this instance knows about one target.
 type targetState struct {
 	target shelfshelf.Target
 	key    shelfshelf.TargetKey
-	// region is where it runs; empty if that is not known.
+	// region is where the target runs; empty if unknown.
 	region shelfshelf.Region
-	// evacuated says that its data centre is.
+	// evacuated says that the target's data centre is being evacuated.
 	evacuated bool
 	// slots is how many requests the target runs at once.
 	slots int
-	// engine says that it runs a model.
+	// engine says that the target runs a model.
 	engine bool
 
-	// own is what this instance has in flight.
-	own load
-	// peers and remotes are what other instances of this data centre, and other data
-	// centres, say that they have in flight.
-	// centre is the same of all of this data centre, by the word of one that hears them all;
-	// ownTold is what this instance told last of its own.
-	centre  toldLoad
-	ownTold load
-	peers   map[shelfshelf.InstanceID]toldLoad
-	remotes map[shelfshelf.DataCentre]toldLoad
-
-	// ownerLoad is how many requests the engine's owner said that it runs, as of ownerAt,
-	// with what this instance has begun and ended since.
-	ownerLoad int
-	ownerAt   time.Time
-
-	// prefillRate is in tokens a millisecond; step is the time of one token; work the
-	// time of a plain call. Zero until observed.
-	prefillRate float64
-	rateAt      time.Time
-	step        time.Duration
-	stepAt      time.Time
-	work        time.Duration
-	// stay is the mean time that a request keeps its place.
-	stay time.Duration
-
-	// failures is a decayed share of failed requests, 0 to 1, as of failuresAt.
+	// local is the load of this instance.
+	local load
+	// peerLoads and remoteLoads are the loads reported by other instances of this data centre and
+	// by other data centres. dataCentreLoad is the total of this data centre, as reported by an
+	// instance that hears from all others; reportedLocal is the local load that this instance
+	// reported last.
+	dataCentreLoad reportedLoad
+	reportedLocal  load
+	peerLoads      map[shelfshelf.InstanceID]reportedLoad
+	remoteLoads    map[shelfshelf.DataCentre]reportedLoad
+
+	// ownerLoad is how many requests the engine runs: as reported by its owner at ownerLoadAt, adjusted
+	// by the requests that this instance has started and ended since.
+	ownerLoad   int
+	ownerLoadAt time.Time
+
+	// prefillRate is in tokens per millisecond, step is the time per output token, and meanCallTime
+	// the time of a plain call. They are zero until observed.
+	prefillRate  float64
+	rateAt       time.Time
+	step         time.Duration
+	stepAt       time.Time
+	meanCallTime time.Duration
+	// holdTime is the mean time that a request holds its slot.
+	holdTime time.Duration
+
+	// failures is the decayed share of failed requests, 0 to 1, as of failuresAt.
 	failures   float64
 	failuresAt time.Time
-	// restUntil keeps new work away after the target could not be reached.
-	restUntil time.Time
-	rest      time.Duration
-	// bears is how many requests a second the target bears while it is cold, 0 if any number, and
-	// coldUntil until when it may be cold by what is known here.
-	bears     float64
+	// backoffUntil keeps new requests away after the target was unreachable; backoff is the current
+	// delay.
+	backoffUntil time.Time
+	backoff      time.Duration
+	// coldRate is how many requests per second the target can take while cold, 0 if it never turns
+	// cold. coldUntil is until when it may be cold, as far as this instance knows.
+	coldRate  float64
 	coldUntil time.Time
-	// said is what the target has said of itself, and pacedUntil keeps its owner from being asked
-	// again before its limit allows another request.
-	said       shelfshelf.TargetWord
-	pacedUntil time.Time
+	// announcement is what the target has announced about itself. Until askOwnerAfter its owner is
+	// not asked, since the limit allows no further request before or the owner has not answered.
+	announcement  shelfshelf.TargetWord
+	askOwnerAfter time.Time
 }
 
-// load is what is in flight at a target.
+// load is the work in flight at a target.
 type load struct {
 	requests int
-	// prefilling are those whose prompts are still to be read, prefill their tokens.
-	prefilling int
-	prefill    int
+	// prefilling counts the requests whose prompts are not prefilled yet, prefillTokens their
+	// tokens.
+	prefilling    int
+	prefillTokens int
 }
 
-func (l load) plus(other load) load {
+func (l load) add(other load) load {
 	return load{
-		requests:   l.requests + other.requests,
-		prefilling: l.prefilling + other.prefilling,
-		prefill:    l.prefill + other.prefill,
+		requests:      l.requests + other.requests,
+		prefilling:    l.prefilling + other.prefilling,
+		prefillTokens: l.prefillTokens + other.prefillTokens,
 	}
 }
 
-// less returns a load without a part of it.
-func (l load) less(part load) load {
+// subtract returns the load without a part of it, at least zero.
+func (l load) subtract(part load) load {
 	return load{
-		requests:   max(l.requests-part.requests, 0),
-		prefilling: max(l.prefilling-part.prefilling, 0),
-		prefill:    max(l.prefill-part.prefill, 0),
+		requests:      max(l.requests-part.requests, 0),
+		prefilling:    max(l.prefilling-part.prefilling, 0),
+		prefillTokens: max(l.prefillTokens-part.prefillTokens, 0),
 	}
 }
 
-// toldLoad is what others have in flight at a target.
-type toldLoad struct {
+// reportedLoad is a load that others have reported for a target.
+type reportedLoad struct {
 	load
 	at time.Time
 }
 
-func newToldLoad(told shelfshelf.TargetLoad, at time.Time) toldLoad {
-	return toldLoad{
-		load: load{requests: told.Requests, prefilling: told.Prefilling, prefill: told.PrefillTokens},
+func newReportedLoad(report shelfshelf.TargetLoad, at time.Time) reportedLoad {
+	return reportedLoad{
+		load: load{requests: report.Requests, prefilling: report.Prefilling, prefillTokens: report.PrefillTokens},
 		at:   at,
 	}
 }
 
-// workTime returns the time of a plain call.
-func (t *targetState) workTime() time.Duration {
-	if t.work == 0 {
-		return startWork
+// callTime returns the expected time of a plain call.
+func (t *targetState) callTime() time.Duration {
+	if t.meanCallTime == 0 {
+		return defaultCallTime
 	}
-	return t.work
+	return t.meanCallTime
 }
 
-// told returns the form in which a load is told to others.
-func (t *targetState) told(l load) shelfshelf.TargetLoad {
+// toTargetLoad converts a load to the form in which it is reported to others.
+func (t *targetState) toTargetLoad(l load) shelfshelf.TargetLoad {
 	return shelfshelf.TargetLoad{
-		Target: t.key, Requests: l.requests, Prefilling: l.prefilling, PrefillTokens: l.prefill,
+		Target: t.key, Requests: l.requests, Prefilling: l.prefilling, PrefillTokens: l.prefillTokens,
 	}
 }
 
-// load returns what all instances have in flight: by the owner's word if there is a
-// fresh one, else by what the instances tell each other.
+// load returns the load of all instances: as reported by the owner if that is recent, else as reported
+// by the instances.
 func (t *targetState) load(now time.Time) load {
-	sum := t.toldLoad(now)
-	if now.Sub(t.ownerAt) < ownerWordKept {
-		sum.requests = max(t.ownerLoad, t.own.requests)
+	sum := t.reportedLoad(now)
+	if now.Sub(t.ownerLoadAt) < ownerLoadTTL {
+		sum.requests = max(t.ownerLoad, t.local.requests)
 	}
 	return sum
 }
 
-// toldLoad returns what all instances have in flight by what they tell each other.
-func (t *targetState) toldLoad(now time.Time) load {
-	sum := t.centreLoad(now)
-	for _, told := range t.remotes {
-		if now.Sub(told.at) < toldLoadKept {
-			sum = sum.plus(told.load)
+// reportedLoad returns the load of all instances as reported by them.
+func (t *targetState) reportedLoad(now time.Time) load {
+	sum := t.sumDataCentreLoad(now)
+	for _, report := range t.remoteLoads {
+		if now.Sub(report.at) < reportedLoadTTL {
+			sum = sum.add(report.load)
 		}
 	}
 	return sum
 }
 
-// centreLoad returns what the instances of this data centre have in flight.
-func (t *targetState) centreLoad(now time.Time) load {
-	if !t.centre.at.IsZero() && now.Sub(t.centre.at) < toldLoadKept {
-		return t.own.plus(t.centre.less(t.ownTold))
+// sumDataCentreLoad returns the load of all instances of this data centre.
+func (t *targetState) sumDataCentreLoad(now time.Time) load {
+	if !t.dataCentreLoad.at.IsZero() && now.Sub(t.dataCentreLoad.at) < reportedLoadTTL {
+		return t.local.add(t.dataCentreLoad.subtract(t.reportedLocal))
 	}
-	sum := t.own
-	for _, told := range t.peers {
-		if now.Sub(told.at) < toldLoadKept {
-			sum = sum.plus(told.load)
+	sum := t.local
+	for _, report := range t.peerLoads {
+		if now.Sub(report.at) < reportedLoadTTL {
+			sum = sum.add(report.load)
 		}
 	}
 	return sum
 }
 
-// failureShare returns the share of failed requests, as it has decayed.
+// failureShare returns the decayed share of failed requests.
 func (t *targetState) failureShare(now time.Time) float64 {
 	if t.failures == 0 {
 		return 0
@@ -185,38 +187,38 @@
 	return t.failures * math.Exp2(-float64(age)/float64(failureHalfLife))
 }
 
-// noteResult counts one request's end.
-func (t *targetState) noteResult(now time.Time, failed bool) {
-	share := t.failureShare(now) * (1 - learnShare)
+// recordResult counts the outcome of one request.
+func (t *targetState) recordResult(now time.Time, failed bool) {
+	share := t.failureShare(now) * (1 - observationWeight)
 	if failed {
-		share += learnShare
+		share += observationWeight
 	}
 	t.failures = share
 	t.failuresAt = now
 }
 
-// noteUnreachable keeps new work away for a while, longer each time in a row.
-func (t *targetState) noteUnreachable(now time.Time) {
-	t.rest = min(max(2*t.rest, firstRest), lastRest)
-	t.restUntil = now.Add(t.rest)
+// backOff keeps new requests away from an unreachable target, for longer each time in a row.
+func (t *targetState) backOff(now time.Time) {
+	t.backoff = min(max(2*t.backoff, minBackoff), maxBackoff)
+	t.backoffUntil = now.Add(t.backoff)
 }
 
-// noteGone keeps new work away until the list of targets is right again: another
-// instance answers at the address.
-func (t *targetState) noteGone(now time.Time) {
-	t.restUntil = now.Add(goneRest)
+// backOffReusedAddress keeps new requests away until the list of targets has been corrected:
+// another target answers at the address.
+func (t *targetState) backOffReusedAddress(now time.Time) {
+	t.backoffUntil = now.Add(reusedAddressBackoff)
 }
 
-// noteReached ends a rest.
-func (t *targetState) noteReached() {
-	t.rest = 0
-	t.restUntil = time.Time{}
+// clearBackoff ends the backoff from a target that has been reached.
+func (t *targetState) clearBackoff() {
+	t.backoff = 0
+	t.backoffUntil = time.Time{}
 }
 
-// learn moves a mean towards an observation; a mean of zero takes it whole.
-func learn(mean, observed float64) float64 {
+// updateMean moves a mean towards an observation; a mean of zero is replaced by it.
+func updateMean(mean, observed float64) float64 {
 	if mean == 0 {
 		return observed
 	}
-	return mean + learnShare*(observed-mean)
+	return mean + observationWeight*(observed-mean)
 }
--- a/balance/version.go
+++ b/balance/version.go
@@ -7,12 +7,12 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-// trialWait is how long a request that tries a new version waits for a place there: it is to
-// lose nothing by it, and a way to an owner and back takes 0.2 to 6 ms.
+// trialWait is how long a request that tries a new version waits for a slot there. The trial should
+// not delay it, and a round trip to an owner takes 0.2 to 6 ms.
 const trialWait = 20 * time.Millisecond
 
-// chooseVersion asks which versions of a pool's targets a request may go to; nil means any.
-// One that has failed already doesn't try a new version.
+// chooseVersion returns which versions of a pool's targets may serve a request; nil allows any. A
+// request that has already failed doesn't try a new version.
 func (b *Balancer) chooseVersion(need Need) *shelfshelf.VersionChoice {
 	if b.Rollouts == nil {
 		return nil
@@ -27,12 +27,12 @@
 	return &choice
 }
 
-// allowed reports that a choice of versions lets a request go to a target.
+// allowed reports whether a version choice allows a target.
 func allowed(choice *shelfshelf.VersionChoice, t *targetState) bool {
 	return choice == nil || choice.Allows(t.target)
 }
 
-// listed returns a pool's targets; they are not to be changed.
+// listed returns the targets of a pool; callers must not modify them.
 func (b *Balancer) listed(name shelfshelf.PoolName) []shelfshelf.Target {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -42,13 +42,12 @@
 	return nil
 }
 
-// tryVersion looks for a place at a new version's targets, for a moment only; nil if there
-// is none.
-func (b *Balancer) tryVersion(ctx context.Context, need Need) *Lease {
+// acquireTrial looks briefly for a slot at targets of the new version; nil if there is none.
+func (b *Balancer) acquireTrial(ctx context.Context, need Need) *Lease {
 	need.WaitUntil = b.Clock.Now().Add(trialWait)
-	acquire := b.acquirePlain
-	if b.owned(need.Pool) {
-		acquire = b.acquireOwned
+	acquire := b.acquireService
+	if b.assignedByOwners(need.Pool) {
+		acquire = b.acquireFromOwners
 	}
 	lease, err := acquire(ctx, need)
 	if err != nil {
@@ -57,41 +56,41 @@
 	return lease
 }
 
-// report tells what a request has shown of its target's version; the lock is held.
-func (b *Balancer) report(l *Lease, result Result, unused bool) {
+// reportToRollouts reports the outcome of a request at its target's version; the lock is held.
+func (b *Balancer) reportToRollouts(l *Lease, result Result, unused bool) {
 	switch {
 	case b.Rollouts == nil:
 	case unused || result.Unsent:
 		b.Rollouts.Unsent(l.Target)
 	case result.NotRun || result.Gone || result.Left:
 	default:
-		b.Rollouts.Ended(l.Target, l.shown(result, b.Clock.Now()))
+		b.Rollouts.Ended(l.Target, l.attemptReport(result, b.Clock.Now()))
 	}
 }
 
-// shown compares a request's times with those of a usual target: of the first answer by what
-// was to be read of the prompt, of the rest by its length.
-func (l *Lease) shown(result Result, now time.Time) shelfshelf.AttemptReport {
+// attemptReport relates the times of a request to those of a typical target: the time to the first
+// answer with regard to the prompt tokens to prefill, the rest with regard to its length.
+func (l *Lease) attemptReport(result Result, now time.Time) shelfshelf.AttemptReport {
 	report := shelfshelf.AttemptReport{Route: l.need.Route, Failed: result.Failed}
 	if l.need.PromptTokens == 0 {
-		report.First = float64(now.Sub(l.granted)) / float64(startWork)
+		report.First = float64(now.Sub(l.grantedAt)) / float64(defaultCallTime)
 		return report
 	}
-	if l.first.IsZero() {
+	if l.firstTokenAt.IsZero() {
 		return report
 	}
-	reading := time.Duration(float64(l.prefill+l.ahead) / startPrefillRate * float64(time.Millisecond))
-	report.First = float64(l.first.Sub(l.granted)) / float64(firstTokenFixed+reading)
-	spec := l.balancer.engine(l.need.Pool)
-	if result.Events >= leastPaceEvents && spec != nil {
+	prefill := time.Duration(float64(l.prefillTokens+l.tokensAhead) / defaultPrefillRate * float64(time.Millisecond))
+	report.First = float64(l.firstTokenAt.Sub(l.grantedAt)) / float64(firstTokenOverhead+prefill)
+	spec := l.balancer.engineSpec(l.need.Pool)
+	if result.Events >= minStepSampleEvents && spec != nil {
 		tokens := (result.Events - 1) * max(spec.TokensPerEvent, 1)
-		report.Pace = float64(now.Sub(l.first)) / float64(tokens) / float64(startStep)
+		report.Pace = float64(now.Sub(l.firstTokenAt)) / float64(tokens) / float64(defaultStep)
 	}
 	return report
 }
 
-// Running returns how many requests this instance has at targets of a pool that run other
-// versions, and how many at those that run this one.
+// Running returns how many requests this instance has in flight at targets of a pool that run other
+// versions, and how many at those that run the given version.
 func (b *Balancer) Running(name shelfshelf.PoolName, version shelfshelf.TargetVersion) (others, at int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -101,9 +100,9 @@
 	}
 	for _, t := range p.targets {
 		if t.target.Version == version {
-			at += t.own.requests
+			at += t.local.requests
 		} else {
-			others += t.own.requests
+			others += t.local.requests
 		}
 	}
 	return others, at
