--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -89,10 +89,10 @@
 	// targets get no requests.
 	Announced shelfshelf.Announcements
 
-	mu      sync.Mutex
-	pools   map[shelfshelf.PoolName]*pool
-	targets map[shelfshelf.TargetName]*targetState
-	keys    map[shelfshelf.TargetKey]*targetState
+	mu           sync.Mutex
+	pools        map[shelfshelf.PoolName]*pool
+	targets      map[shelfshelf.TargetName]*targetState
+	targetsByKey map[shelfshelf.TargetKey]*targetState
 	// peerTargets and remoteTargets are the targets in the latest report of each instance and data
 	// centre. With them a new report replaces the previous one without a scan of all targets.
 	peerTargets   map[shelfshelf.InstanceID][]*targetState
@@ -130,7 +130,7 @@
 	old := b.targets
 	oldPools := b.pools
 	b.targets = make(map[shelfshelf.TargetName]*targetState, len(targets))
-	b.keys = make(map[shelfshelf.TargetKey]*targetState, len(targets))
+	b.targetsByKey = make(map[shelfshelf.TargetKey]*targetState, len(targets))
 	b.pools = make(map[shelfshelf.PoolName]*pool, len(pools))
 	for i := range pools {
 		p := &pool{spec: &pools[i]}
@@ -140,21 +140,21 @@
 		}
 		b.pools[pools[i].Name] = p
 	}
-	gone := make(map[shelfshelf.TargetName]bool)
+	removed := make(map[shelfshelf.TargetName]bool)
 	for _, target := range targets {
 		state, created := stateOf(old[target.Name], target)
 		if created && old[target.Name] != nil {
-			gone[target.Name] = true
+			removed[target.Name] = true
 		}
 		b.addTarget(state, target, created, now)
 	}
 	for name := range old {
 		if b.targets[name] == nil {
-			gone[name] = true
+			removed[name] = true
 		}
 	}
-	if len(gone) > 0 {
-		b.prefixes.forget(gone)
+	if len(removed) > 0 {
+		b.prefixes.forget(removed)
 	}
 	for _, p := range b.pools {
 		slices.SortFunc(p.targets, func(x, y *targetState) int { return compareNames(x.target.Name, y.target.Name) })
@@ -187,7 +187,7 @@
 	b.targets[target.Name] = state
 	state.key = shelfshelf.KeyOfTarget(target.Name)
 	b.loadAnnouncement(state)
-	b.keys[state.key] = state
+	b.targetsByKey[state.key] = state
 	if p != nil {
 		state.engine = p.spec.Engine != nil
 		p.targets = append(p.targets, state)
--- a/balance/cold.go
+++ b/balance/cold.go
@@ -63,7 +63,7 @@
 func (b *Balancer) Cold(key shelfshelf.TargetKey) ColdState {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	t := b.keys[key]
+	t := b.targetsByKey[key]
 	if t == nil {
 		return ColdState{}
 	}
--- a/balance/loads.go
+++ b/balance/loads.go
@@ -12,7 +12,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var loads []shelfshelf.TargetLoad
-	for _, t := range b.keys {
+	for _, t := range b.targetsByKey {
 		t.reportedLocal = t.local
 		if t.local.requests > 0 {
 			loads = append(loads, t.toTargetLoad(t.local))
@@ -27,7 +27,7 @@
 	defer b.mu.Unlock()
 	now := b.Clock.Now()
 	var loads []shelfshelf.TargetLoad
-	for _, t := range b.keys {
+	for _, t := range b.targetsByKey {
 		if sum := t.sumDataCentreLoad(now); sum.requests > 0 {
 			loads = append(loads, t.toTargetLoad(sum))
 		}
@@ -83,11 +83,11 @@
 
 // setDataCentreLoads handles the total loads of this data centre; the lock is held.
 func (b *Balancer) setDataCentreLoads(digest shelfshelf.Digest, now time.Time) {
-	for _, t := range b.keys {
+	for _, t := range b.targetsByKey {
 		t.dataCentreLoad = reportedLoad{at: now.Add(-digest.Age)}
 	}
 	for _, report := range digest.Loads {
-		if t := b.keys[report.Target]; t != nil {
+		if t := b.targetsByKey[report.Target]; t != nil {
 			t.dataCentreLoad = newReportedLoad(report, now.Add(-digest.Age))
 		}
 	}
@@ -100,7 +100,7 @@
 func (b *Balancer) resolveTargets(list []*targetState, loads []shelfshelf.TargetLoad) []*targetState {
 	list = list[:0]
 	for i, load := range loads {
-		if t := b.keys[load.Target]; t != nil {
+		if t := b.targetsByKey[load.Target]; t != nil {
 			loads[len(list)], loads[i] = loads[i], loads[len(list)]
 			list = append(list, t)
 		}
--- a/balance/owner_only.go
+++ b/balance/owner_only.go
@@ -24,7 +24,7 @@
 func (b *Balancer) WordChanged(key shelfshelf.TargetKey) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	t := b.keys[key]
+	t := b.targetsByKey[key]
 	if t == nil {
 		return
 	}
@@ -69,7 +69,7 @@
 func (b *Balancer) Where(key shelfshelf.TargetKey) (shelfshelf.DataCentre, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if t := b.keys[key]; t != nil {
+	if t := b.targetsByKey[key]; t != nil {
 		return t.target.DataCentre, true
 	}
 	return "", false
--- a/balance/owners.go
+++ b/balance/owners.go
@@ -269,7 +269,7 @@
 func (b *Balancer) Capacity(key shelfshelf.TargetKey) (slots, reported int, known bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	t := b.keys[key]
+	t := b.targetsByKey[key]
 	if t == nil {
 		return 0, 0, false
 	}
--- a/balance/prefix_index.go
+++ b/balance/prefix_index.go
@@ -70,11 +70,11 @@
 }
 
 // forget drops targets that no longer exist.
-func (p *prefixIndex) forget(gone map[shelfshelf.TargetName]bool) {
+func (p *prefixIndex) forget(removed map[shelfshelf.TargetName]bool) {
 	for part, list := range p.holders {
 		var kept []holder
 		for _, h := range list {
-			if !gone[h.target] {
+			if !removed[h.target] {
 				kept = append(kept, h)
 			}
 		}
--- a/balance/speeds.go
+++ b/balance/speeds.go
@@ -35,7 +35,7 @@
 
 // current reports whether a target still exists and has not restarted. Observations of a previous
 // process don't apply to its successor of the same name. The lock is held.
-func (b *Balancer) current(t *targetState) bool { return b.keys[t.key] == t }
+func (b *Balancer) current(t *targetState) bool { return b.targetsByKey[t.key] == t }
 
 func (b *Balancer) appendObservation(speed shelfshelf.TargetSpeed) {
 	if len(b.observations) < maxObservations {
@@ -69,7 +69,7 @@
 	defer b.mu.Unlock()
 	now := b.Clock.Now()
 	for _, speed := range speeds {
-		t := b.keys[speed.Target]
+		t := b.targetsByKey[speed.Target]
 		if t == nil {
 			continue
 		}
@@ -88,7 +88,7 @@
 	defer b.mu.Unlock()
 	now := b.Clock.Now()
 	var speeds []shelfshelf.TargetSpeed
-	for key, t := range b.keys {
+	for key, t := range b.targetsByKey {
 		speed := shelfshelf.TargetSpeed{Target: key}
 		if now.Sub(t.rateAt) < observationTTL {
 			speed.PrefillRate = t.prefillRate
@@ -108,7 +108,7 @@
 // centres would repeat them to each other forever.
 func (b *Balancer) mergeRemoteSpeeds(speeds []shelfshelf.TargetSpeed, now time.Time) {
 	for _, speed := range speeds {
-		t := b.keys[speed.Target]
+		t := b.targetsByKey[speed.Target]
 		if t == nil {
 			continue
 		}
