--- a/balance/choose.go
+++ b/balance/choose.go
@@ -54,7 +54,8 @@
 	return b.grantWithoutOwner(p, best, need, now)
 }
 
-// cheapest returns the eligible target with the lowest cost, or nil; the lock is held.
+// cheapest returns the target with the lowest cost among those that fits accepts, or nil; the lock
+// is held.
 func (b *Balancer) cheapest(p *pool, need Need, now time.Time, fits func(*targetState) bool) *targetState {
 	var best *targetState
 	var bestCost time.Duration
