--- /dev/null
+++ b/balance/owners.go
@@ -0,0 +1,277 @@
+package balance
+
+import (
+	"context"
+	"slices"
+	"time"
+
+	"github.com/shelfshelf/shelfshelf"
+)
+
+const (
+	// maxOwnerAsks is how many engines a request asks for a slot; it takes the first slot granted.
+	// Waiting in several queues gets a slot sooner than waiting in one.
+	maxOwnerAsks = 8
+	// maxUnavailable is how many further engines may be found unavailable. A quarter of all engines
+	// may have crashed at once, and they look best because they run nothing.
+	maxUnavailable = 24
+	// ownerLoadTTL is how long the load reported by an owner takes precedence over the loads that
+	// the instances report, which are 0.1 to 0.4 s old.
+	ownerLoadTTL = 300 * time.Millisecond
+)
+
+// ownerAcquisition is one request's attempt to get a slot from the owners of engines.
+type ownerAcquisition struct {
+	balancer *Balancer
+	need     Need
+	granted  chan shelfshelf.PlaceID
+	tried    []*targetState
+	// nextAsk is the message for the owner of the engine chosen last. It is built when the engine
+	// is chosen, since the engine's entry may be replaced while its owner is asked.
+	nextAsk shelfshelf.PlaceAsk
+	// queuedAsks are the queues that the request waits in, as far as is known: some owners may not
+	// have answered yet.
+	queuedAsks map[shelfshelf.PlaceID]*targetState
+	// answered counts the owners that granted a slot or queued the request, unavailable the engines
+	// that accept nothing at the moment.
+	answered    int
+	unavailable int
+}
+
+func (b *Balancer) newOwnerAcquisition(need Need) *ownerAcquisition {
+	return &ownerAcquisition{
+		balancer:   b,
+		need:       need,
+		granted:    make(chan shelfshelf.PlaceID, maxOwnerAsks),
+		queuedAsks: make(map[shelfshelf.PlaceID]*targetState),
+	}
+}
+
+// acquireFromOwners asks the owners of the best engines for a slot, one after the other, and waits
+// in the queues of those that are full.
+func (b *Balancer) acquireFromOwners(ctx context.Context, need Need) (lease *Lease, err error) {
+	a := b.newOwnerAcquisition(need)
+	defer func() { a.leaveQueues(lease != nil) }()
+	for len(a.tried)-a.unavailable < maxOwnerAsks && a.unavailable < maxUnavailable {
+		if len(a.tried) > 0 && !b.Clock.Now().Before(need.WaitUntil) {
+			// Owners that don't answer have used up the time.
+			break
+		}
+		t := a.chooseUntried()
+		if t == nil {
+			break
+		}
+		if lease := a.ask(ctx, t); lease != nil {
+			return lease, nil
+		}
+		if ctx.Err() != nil {
+			return nil, ctx.Err()
+		}
+	}
+	if a.answered == 0 && !a.allOwnerOnly() {
+		// No owner has answered: decide by this instance's own view of the load.
+		lease, err := b.acquireLocally(ctx, need)
+		if err == nil {
+			lease.Asked = len(a.tried)
+		}
+		return lease, err
+	}
+	return a.awaitGrant(ctx)
+}
+
+// chooseUntried returns the best engine that has not been asked yet, whether it is full or not.
+func (a *ownerAcquisition) chooseUntried() *targetState {
+	return a.chooseAndMark(func(t *targetState) bool { return !slices.Contains(a.tried, t) })
+}
+
+// chooseUnqueued returns the best engine in whose queue the request doesn't wait, whether it has
+// been asked or not.
+func (a *ownerAcquisition) chooseUnqueued() *targetState {
+	return a.chooseAndMark(func(t *targetState) bool { return !a.queuedAt(t) })
+}
+
+// chooseAndMark returns the best available target that fits accepts, and records it as tried.
+func (a *ownerAcquisition) chooseAndMark(fits func(t *targetState) bool) *targetState {
+	best := a.chooseBest(func(t *targetState, _ time.Time) bool { return fits(t) })
+	if best != nil {
+		a.tried = append(a.tried, best)
+	}
+	return best
+}
+
+// chooseBest returns the best available target that fits accepts, and builds the ask for its owner.
+func (a *ownerAcquisition) chooseBest(fits func(t *targetState, now time.Time) bool) *targetState {
+	b := a.balancer
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	now := b.Clock.Now()
+	p := b.pools[a.need.Pool]
+	if p == nil {
+		return nil
+	}
+	b.refreshFleetState(now)
+	best := b.cheapest(p, a.need, now, func(t *targetState) bool {
+		return t.available(a.need, now) && fits(t, now)
+	})
+	if best != nil {
+		a.nextAsk = shelfshelf.PlaceAsk{
+			Target:     best.key,
+			DataCentre: best.target.DataCentre,
+			Begun:      a.need.Begun,
+			Rank:       a.need.Rank,
+			Tier:       a.need.Tier,
+			Stay:       p.expectHoldTime(best, a.need, b.uncachedTokens(best, a.need, now), now),
+			Wait:       max(a.need.WaitUntil.Sub(now), 0),
+			Said:       best.announcement,
+			Strict:     best.firstOwnerOnly(now),
+		}
+	}
+	return best
+}
+
+// ask asks the owner of one engine for a slot; if nobody owns the engine, this instance decides
+// alone.
+func (a *ownerAcquisition) ask(ctx context.Context, t *targetState) *Lease {
+	b := a.balancer
+	answer := b.Places.Ask(ctx, a.nextAsk, a.granted)
+	switch answer.Outcome {
+	case shelfshelf.PlaceGranted:
+		a.answered++
+		b.recordOwnerLoad(t, answer.Requests-1)
+		return a.acceptGrant(t, answer.ID)
+	case shelfshelf.PlaceWaits:
+		a.answered++
+		b.recordOwnerLoad(t, answer.Requests)
+		a.queuedAsks[answer.ID] = t
+		return nil
+	case shelfshelf.PlaceUnanswered:
+		if a.nextAsk.Strict {
+			return a.skipSilentOwner(t, answer.ID)
+		}
+		a.queuedAsks[answer.ID] = t
+		return nil
+	case shelfshelf.PlaceRests:
+		// The ask is in no queue and doesn't count as answered. If it did, a request that no other
+		// owner answers would wait for nothing.
+		a.unavailable++
+		b.recordBackoff(t, answer.Rest)
+		return nil
+	case shelfshelf.PlaceUnknown:
+		if t.ownerOnly() {
+			return a.skipSilentOwner(t, answer.ID)
+		}
+	}
+	return a.grantLocally(t)
+}
+
+// grantLocally takes a slot without a grant of the owner if this instance's own view of the load
+// shows a free one.
+func (a *ownerAcquisition) grantLocally(t *targetState) *Lease {
+	b := a.balancer
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	now := b.Clock.Now()
+	p := b.pools[a.need.Pool]
+	if p == nil || !t.assignable(a.need, now) {
+		return nil
+	}
+	lease := b.grantWithoutOwner(p, t, a.need, now)
+	lease.Asked = len(a.tried)
+	return lease
+}
+
+// acceptGrant turns a granted slot into a lease, or returns the slot if the engine can no longer
+// serve the request.
+func (a *ownerAcquisition) acceptGrant(t *targetState, id shelfshelf.PlaceID) *Lease {
+	b := a.balancer
+	b.mu.Lock()
+	now := b.Clock.Now()
+	p := b.pools[a.need.Pool]
+	if p == nil || b.targets[t.target.Name] != t || !t.available(a.need, now) {
+		b.mu.Unlock()
+		b.Places.Give(id, false)
+		return nil
+	}
+	lease := b.grant(p, t, a.need, now)
+	lease.grantID = id
+	lease.Asked = len(a.tried)
+	b.mu.Unlock()
+	return lease
+}
+
+// awaitGrant waits until one of the queues grants a slot.
+func (a *ownerAcquisition) awaitGrant(ctx context.Context) (*Lease, error) {
+	b := a.balancer
+	b.waitingAtOwners.Add(1)
+	defer b.waitingAtOwners.Add(-1)
+	timeout := b.Clock.After(a.need.WaitUntil.Sub(b.Clock.Now()))
+	for {
+		select {
+		case id := <-a.granted:
+			t, queued := a.queuedAsks[id]
+			if !queued {
+				// The ask was given up just before it was granted.
+				continue
+			}
+			delete(a.queuedAsks, id)
+			if lease := a.acceptGrant(t, id); lease != nil {
+				return lease, nil
+			}
+			// The target has started to leave or to back off since the request was queued there.
+			// Other targets may be available.
+			if lease := a.askUntilGranted(ctx, a.chooseUnqueued); lease != nil {
+				return lease, nil
+			}
+		case <-a.retryTimer():
+			if lease := a.askUntilGranted(ctx, a.chooseRetry); lease != nil {
+				return lease, nil
+			}
+		case <-ctx.Done():
+			return nil, ctx.Err()
+		case <-timeout:
+			return nil, &Refusal{Reason: shelfshelf.RefusedShed, RetryAfter: a.retryAfter()}
+		}
+	}
+}
+
+// leaveQueues removes the request from the queues in which it still waits, and tells their owners
+// whether it has got a slot.
+func (a *ownerAcquisition) leaveQueues(served bool) {
+	for id := range a.queuedAsks {
+		a.balancer.Places.Leave(id, served)
+	}
+}
+
+// recordOwnerLoad records the load that an owner has reported for its engine.
+func (b *Balancer) recordOwnerLoad(t *targetState, requests int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	t.ownerLoad = requests
+	t.ownerLoadAt = b.Clock.Now()
+}
+
+// recordBackoff records for how long an engine accepts nothing according to its owner, or its owner
+// is not to be asked.
+func (b *Balancer) recordBackoff(t *targetState, left time.Duration) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	until := b.Clock.Now().Add(left)
+	switch {
+	case t.ownerOnly():
+		t.askOwnerAfter = until
+	case until.After(t.backoffUntil):
+		t.backoffUntil = until
+	}
+}
+
+// Capacity returns the slots of an engine and its load as reported by the instances; false if the
+// engine is unknown.
+func (b *Balancer) Capacity(key shelfshelf.TargetKey) (slots, reported int, known bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	t := b.targetsByKey[key]
+	if t == nil {
+		return 0, 0, false
+	}
+	return t.slots, t.reportedLoad(b.Clock.Now()).requests, true
+}
