--- a/places/backoff_test.go
+++ b/places/backoff_test.go
@@ -12,16 +12,16 @@
 // them, since a target that runs nothing looks best. The failure seen by one instance must save the
 // others the attempt, and a single request must find out when the target is back.
 func TestUnreachableTargetsBackOffForAllInstances(t *testing.T) {
-	inNetwork(t, 5, func(ctx context.Context, w *network) {
+	inNetwork(t, 5, func(ctx context.Context, net *network) {
 		granted := make(chan shelfshelf.PlaceID, 99)
 		requestFrom := func(n int) shelfshelf.PlaceAnswer {
-			return w.clients[addressOf(n)].Ask(ctx, requestFor(7, 0), granted)
+			return net.clients[addressOf(n)].Ask(ctx, requestFor(7, 0), granted)
 		}
 		first := requestFrom(1)
 		if first.Outcome != shelfshelf.PlaceGranted {
 			t.Fatalf("%+v", first)
 		}
-		w.clients[addressOf(1)].Give(first.ID, true)
+		net.clients[addressOf(1)].Give(first.ID, true)
 		time.Sleep(5 * time.Millisecond)
 		for n := 2; n <= 5; n++ {
 			if got := requestFrom(n); got.Outcome != shelfshelf.PlaceRests || got.Rest <= 0 || got.Rest > minBackoff {
@@ -36,14 +36,14 @@
 		if got := requestFrom(3); got.Outcome != shelfshelf.PlaceRests {
 			t.Errorf("beside the probe: %+v", got)
 		}
-		w.clients[addressOf(2)].Give(probe.ID, true)
+		net.clients[addressOf(2)].Give(probe.ID, true)
 		time.Sleep(minBackoff + probeTimeout)
 		if got := requestFrom(3); got.Outcome != shelfshelf.PlaceRests {
 			t.Errorf("the second backoff is not longer: %+v", got)
 		}
 		time.Sleep(minBackoff)
 		probe = requestFrom(3)
-		w.clients[addressOf(3)].Give(probe.ID, false)
+		net.clients[addressOf(3)].Give(probe.ID, false)
 		time.Sleep(5 * time.Millisecond)
 		if got := requestFrom(4); got.Outcome != shelfshelf.PlaceGranted {
 			t.Errorf("after an answer: %+v", got)
@@ -53,15 +53,15 @@
 
 // The probe may stream for long: the backoff ends if the probe has not failed within probeTimeout.
 func TestRunningProbesEndTheBackoff(t *testing.T) {
-	inNetwork(t, 3, func(ctx context.Context, w *network) {
+	inNetwork(t, 3, func(ctx context.Context, net *network) {
 		granted := make(chan shelfshelf.PlaceID, 99)
-		w.clients[addressOf(1)].Give(w.clients[addressOf(1)].Ask(ctx, requestFor(7, 0), granted).ID, true)
+		net.clients[addressOf(1)].Give(net.clients[addressOf(1)].Ask(ctx, requestFor(7, 0), granted).ID, true)
 		time.Sleep(minBackoff + 5*time.Millisecond)
-		if got := w.clients[addressOf(2)].Ask(ctx, requestFor(7, 0), granted); got.Outcome != shelfshelf.PlaceGranted {
+		if got := net.clients[addressOf(2)].Ask(ctx, requestFor(7, 0), granted); got.Outcome != shelfshelf.PlaceGranted {
 			t.Fatalf("%+v", got)
 		}
 		time.Sleep(probeTimeout)
-		if got := w.clients[addressOf(3)].Ask(ctx, requestFor(7, 0), granted); got.Outcome != shelfshelf.PlaceGranted {
+		if got := net.clients[addressOf(3)].Ask(ctx, requestFor(7, 0), granted); got.Outcome != shelfshelf.PlaceGranted {
 			t.Errorf("%+v", got)
 		}
 	})
@@ -70,9 +70,9 @@
 // An instance that is the only one that cannot reach a target blocks it for the others once, and is
 // then ignored for a while.
 func TestIsolatedHoldersBlockTargetsOnce(t *testing.T) {
-	inNetwork(t, 3, func(ctx context.Context, w *network) {
+	inNetwork(t, 3, func(ctx context.Context, net *network) {
 		granted := make(chan shelfshelf.PlaceID, 99)
-		isolated, other := w.clients[addressOf(1)], w.clients[addressOf(2)]
+		isolated, other := net.clients[addressOf(1)], net.clients[addressOf(2)]
 		blocked := 0
 		for range 20 {
 			if got := isolated.Ask(ctx, requestFor(7, 0), granted); got.Outcome == shelfshelf.PlaceGranted {
--- a/places/client_test.go
+++ b/places/client_test.go
@@ -11,12 +11,12 @@
 // All instances together get as many slots of a target as it has; the next request waits and gets
 // the first slot that is released.
 func TestInstancesShareATarget(t *testing.T) {
-	inNetwork(t, 4, func(ctx context.Context, w *network) {
+	inNetwork(t, 4, func(ctx context.Context, net *network) {
 		granted := make(chan shelfshelf.PlaceID, 9)
 		var first shelfshelf.PlaceID
 		grants := 0
 		for n := range 4 {
-			answer := w.clients[addressOf(n+1)].Ask(ctx, requestFor(7, time.Second), granted)
+			answer := net.clients[addressOf(n+1)].Ask(ctx, requestFor(7, time.Second), granted)
 			if answer.Outcome == shelfshelf.PlaceGranted {
 				grants++
 			}
@@ -27,7 +27,7 @@
 		if grants != testSlots {
 			t.Fatalf("%d of %d slots were granted", grants, testSlots)
 		}
-		w.clients[addressOf(1)].Give(first, false)
+		net.clients[addressOf(1)].Give(first, false)
 		select {
 		case <-granted:
 		case <-time.After(100 * time.Millisecond):
@@ -38,19 +38,19 @@
 
 // Released slots become free in the end even if messages are lost.
 func TestSyncMakesUpForLostMessages(t *testing.T) {
-	inNetwork(t, 5, func(ctx context.Context, w *network) {
-		w.setLossRate(0.3)
+	inNetwork(t, 5, func(ctx context.Context, net *network) {
+		net.setLossRate(0.3)
 		for round := range 40 {
-			c := w.clients[addressOf(round%5+1)]
+			c := net.clients[addressOf(round%5+1)]
 			granted := make(chan shelfshelf.PlaceID, 1)
 			answer := c.Ask(ctx, requestFor(shelfshelf.TargetKey(round%3), 50*time.Millisecond), granted)
 			time.Sleep(60 * time.Millisecond)
 			c.Give(answer.ID, false)
 		}
-		w.setLossRate(0)
+		net.setLossRate(0)
 		time.Sleep(4 * time.Second)
 		for target := range shelfshelf.TargetKey(3) {
-			if held := w.held(target); held != 0 {
+			if held := net.held(target); held != 0 {
 				t.Errorf("%d slots of target %d are taken by nobody", held, target)
 			}
 		}
@@ -60,12 +60,12 @@
 // An owner whose answers are late stays the owner: with a second one, a target would get more
 // requests than it has slots.
 func TestSlowOwnersStayOwners(t *testing.T) {
-	inNetwork(t, 4, func(ctx context.Context, w *network) {
-		w.setDelay(40 * time.Millisecond)
+	inNetwork(t, 4, func(ctx context.Context, net *network) {
+		net.setDelay(40 * time.Millisecond)
 		granted := make(chan shelfshelf.PlaceID, 99)
 		grants := 0
 		for round := range 12 {
-			requester := w.clients[addressOf(round%4+1)]
+			requester := net.clients[addressOf(round%4+1)]
 			if got := requester.Ask(ctx, requestFor(7, 2*time.Second), granted); got.Outcome == shelfshelf.PlaceGranted {
 				grants++
 			}
@@ -80,11 +80,11 @@
 // A slot that is granted after its request timed out is delivered like one from the queue, and can
 // be released.
 func TestLateGrantsAreDelivered(t *testing.T) {
-	inNetwork(t, 2, func(ctx context.Context, w *network) {
+	inNetwork(t, 2, func(ctx context.Context, net *network) {
 		granted := make(chan shelfshelf.PlaceID, 1)
-		requester := w.clients[addressOf(1)]
+		requester := net.clients[addressOf(1)]
 		target, _ := targetOwnedElsewhere(requester)
-		w.setDelay(50 * time.Millisecond)
+		net.setDelay(50 * time.Millisecond)
 		began := time.Now()
 		got := requester.Ask(ctx, requestFor(target, time.Second), granted)
 		if took := time.Since(began); got.Outcome != shelfshelf.PlaceUnanswered || took != answerTimeout {
@@ -100,7 +100,7 @@
 		}
 		requester.Give(got.ID, false)
 		time.Sleep(60 * time.Millisecond)
-		if held := w.held(target); held != 0 {
+		if held := net.held(target); held != 0 {
 			t.Errorf("%d slots are left", held)
 		}
 	})
@@ -108,16 +108,16 @@
 
 // After the owner has failed, the next one answers soon and learns which slots are held.
 func TestOwnersAreReplaced(t *testing.T) {
-	inNetwork(t, 4, func(ctx context.Context, w *network) {
+	inNetwork(t, 4, func(ctx context.Context, net *network) {
 		granted := make(chan shelfshelf.PlaceID, 9)
-		requester := w.clients[addressOf(1)]
+		requester := net.clients[addressOf(1)]
 		target, owner := targetOwnedElsewhere(requester)
 		for range 2 {
 			if got := requester.Ask(ctx, requestFor(target, 0), granted); got.Outcome != shelfshelf.PlaceGranted {
 				t.Fatalf("%+v", got)
 			}
 		}
-		w.kill(owner, true)
+		net.kill(owner, true)
 		began := time.Now()
 		for {
 			asked := time.Now()
@@ -133,9 +133,9 @@
 		if took := time.Since(began); took > ownerTimeout+answerTimeout {
 			t.Errorf("the next owner answered after %v", took)
 		}
-		w.kill(owner, false)
+		net.kill(owner, false)
 		time.Sleep(1500 * time.Millisecond)
-		if held := w.held(target); held != 3 {
+		if held := net.held(target); held != 3 {
 			t.Errorf("the new owner knows of %d slots, 3 are held", held)
 		}
 	})
@@ -143,17 +143,17 @@
 
 // An owner that no request reaches is replaced, although its own messages still arrive.
 func TestOwnersThatReceiveNothingAreReplaced(t *testing.T) {
-	inNetwork(t, 4, func(ctx context.Context, w *network) {
+	inNetwork(t, 4, func(ctx context.Context, net *network) {
 		granted := make(chan shelfshelf.PlaceID, 99)
-		requester := w.clients[addressOf(1)]
+		requester := net.clients[addressOf(1)]
 		target, address := targetOwnedElsewhere(requester)
-		owner := w.clients[address]
+		owner := net.clients[address]
 		reverseTarget, reverseOwner := targetOwnedElsewhere(owner)
 		for reverseOwner != requester.Self.Address {
 			reverseTarget++
 			reverseOwner, _ = owner.respondingOwner(reverseTarget, "")
 		}
-		w.cutLink(requester.Self.Address, address)
+		net.cutLink(requester.Self.Address, address)
 		began := time.Now()
 		for requester.Ask(ctx, requestFor(target, 0), granted).Outcome != shelfshelf.PlaceGranted {
 			owner.Ask(ctx, requestFor(reverseTarget, 0), granted)
@@ -167,25 +167,25 @@
 // An instance grants itself a slot while the owner is skipped. Once the owner is back and takes the
 // slot over, the slot is removed from the book of the first instance.
 func TestSlotsThatChangeOwnersAreFreed(t *testing.T) {
-	inNetwork(t, 2, func(ctx context.Context, w *network) {
+	inNetwork(t, 2, func(ctx context.Context, net *network) {
 		granted := make(chan shelfshelf.PlaceID, 9)
-		requester := w.clients[addressOf(1)]
+		requester := net.clients[addressOf(1)]
 		target, owner := targetOwnedElsewhere(requester)
 		// The requests are timed between two syncs, at 1 and 2 s, such that the owner is skipped from
 		// 0.95 to 1.95 s.
 		time.Sleep(700 * time.Millisecond)
-		w.kill(owner, true)
+		net.kill(owner, true)
 		requester.Give(requester.Ask(ctx, requestFor(target, 0), granted).ID, false)
 		time.Sleep(400 * time.Millisecond)
 		got := requester.Ask(ctx, requestFor(target, 0), granted)
 		if got.Outcome != shelfshelf.PlaceGranted {
 			t.Fatalf("%+v", got)
 		}
-		w.revive(owner)
+		net.revive(owner)
 		time.Sleep(time.Second)
 		requester.Give(got.ID, false)
 		time.Sleep(3 * time.Second)
-		if held := w.held(target); held != 0 {
+		if held := net.held(target); held != 0 {
 			t.Errorf("%d slots are taken by nobody", held)
 		}
 	})
@@ -194,26 +194,26 @@
 // If no owner answers, the requester learns so soon. A slot that it takes by itself is reported
 // later.
 func TestNoOwnerAnswers(t *testing.T) {
-	inNetwork(t, 3, func(ctx context.Context, w *network) {
-		requester := w.clients[addressOf(1)]
+	inNetwork(t, 3, func(ctx context.Context, net *network) {
+		requester := net.clients[addressOf(1)]
 		target, _ := targetOwnedElsewhere(requester)
-		w.setLossRate(1)
+		net.setLossRate(1)
 		began := time.Now()
 		got := requester.Ask(ctx, requestFor(target, 0), make(chan shelfshelf.PlaceID, 1))
 		if took := time.Since(began); got.Outcome != shelfshelf.PlaceUnanswered || took > answerTimeout {
 			t.Errorf("%+v after %v", got, took)
 		}
 		requester.Give(got.ID, false)
-		w.setLossRate(0)
+		net.setLossRate(0)
 		time.Sleep(ownerTimeout + ownerSkipPeriod)
 		id := requester.Took(target, "")
 		time.Sleep(1100 * time.Millisecond)
-		if held := w.held(target); held != 1 {
+		if held := net.held(target); held != 1 {
 			t.Errorf("%d slots are known to be held", held)
 		}
 		requester.Give(id, false)
 		time.Sleep(10 * time.Millisecond)
-		if held := w.held(target); held != 0 {
+		if held := net.held(target); held != 0 {
 			t.Errorf("%d slots are left", held)
 		}
 	})
@@ -222,8 +222,8 @@
 // A grant whose channel has no room is released and blocks nothing. It occurs when a request is
 // given up at the same moment.
 func TestUnclaimedGrantsAreReleased(t *testing.T) {
-	inNetwork(t, 1, func(ctx context.Context, w *network) {
-		c := w.clients[addressOf(1)]
+	inNetwork(t, 1, func(ctx context.Context, net *network) {
+		c := net.clients[addressOf(1)]
 		unbuffered := make(chan shelfshelf.PlaceID) // no receiver
 		var held []shelfshelf.PlaceID
 		for range testSlots {
--- a/places/network_test.go
+++ b/places/network_test.go
@@ -31,64 +31,64 @@
 }
 
 // cutLink drops everything from one instance to another; the reverse direction stays open.
-func (w *network) cutLink(from, to netip.AddrPort) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.cutLinks[[2]netip.AddrPort{from, to}] = true
+func (net *network) cutLink(from, to netip.AddrPort) {
+	net.mu.Lock()
+	defer net.mu.Unlock()
+	net.cutLinks[[2]netip.AddrPort{from, to}] = true
 }
 
 // setDelay sets how long each message takes.
-func (w *network) setDelay(delay time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.delay = delay
+func (net *network) setDelay(delay time.Duration) {
+	net.mu.Lock()
+	defer net.mu.Unlock()
+	net.delay = delay
 }
 
-func (w *network) currentDelay() time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.delay
+func (net *network) currentDelay() time.Duration {
+	net.mu.Lock()
+	defer net.mu.Unlock()
+	return net.delay
 }
 
 // setLossRate sets the share of the messages that are lost.
-func (w *network) setLossRate(rate float64) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.lossRate = rate
+func (net *network) setLossRate(rate float64) {
+	net.mu.Lock()
+	defer net.mu.Unlock()
+	net.lossRate = rate
 }
 
 // kill silences an instance; listed says whether the others still consider it alive.
-func (w *network) kill(address netip.AddrPort, listed bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.dead[address] = true
+func (net *network) kill(address netip.AddrPort, listed bool) {
+	net.mu.Lock()
+	defer net.mu.Unlock()
+	net.dead[address] = true
 	if !listed {
-		delete(w.clients, address)
+		delete(net.clients, address)
 	}
 }
 
 // revive ends the silence of an instance.
-func (w *network) revive(address netip.AddrPort) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	delete(w.dead, address)
+func (net *network) revive(address netip.AddrPort) {
+	net.mu.Lock()
+	defer net.mu.Unlock()
+	delete(net.dead, address)
 }
 
 // receiver returns the client that gets a message, or nil if it is lost.
-func (w *network) receiver(from, to netip.AddrPort) *Client {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if rand.Float64() < w.lossRate || w.dead[to] || w.dead[from] || w.cutLinks[[2]netip.AddrPort{from, to}] {
+func (net *network) receiver(from, to netip.AddrPort) *Client {
+	net.mu.Lock()
+	defer net.mu.Unlock()
+	if rand.Float64() < net.lossRate || net.dead[to] || net.dead[from] || net.cutLinks[[2]netip.AddrPort{from, to}] {
 		return nil
 	}
-	return w.clients[to]
+	return net.clients[to]
 }
 
-func (w *network) candidates(shelfshelf.DataCentre) []shelfshelf.Member {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (net *network) candidates(shelfshelf.DataCentre) []shelfshelf.Member {
+	net.mu.Lock()
+	defer net.mu.Unlock()
 	var all []shelfshelf.Member
-	for other := range w.clients {
+	for other := range net.clients {
 		all = append(all, shelfshelf.Member{Hash: xxhash.Sum64String(other.String()), Address: other})
 	}
 	return all
@@ -99,28 +99,28 @@
 }
 
 func newNetwork(ctx context.Context, size int) *network {
-	w := &network{
+	net := &network{
 		clients:  make(map[netip.AddrPort]*Client),
 		dead:     make(map[netip.AddrPort]bool),
 		cutLinks: make(map[[2]netip.AddrPort]bool),
 		delay:    time.Millisecond,
 	}
 	for n := range size {
-		w.add(ctx, addressOf(n+1), 1)
+		net.add(ctx, addressOf(n+1), 1)
 	}
-	return w
+	return net
 }
 
-func (w *network) add(ctx context.Context, address netip.AddrPort, incarnation uint64) {
+func (net *network) add(ctx context.Context, address netip.AddrPort, incarnation uint64) {
 	c := &Client{
 		Clock:      clockwork.NewRealClock(),
 		Log:        log.New(io.Discard),
 		Self:       Holder{Address: address, Incarnation: incarnation},
-		Candidates: w.candidates,
+		Candidates: net.candidates,
 	}
 	c.Send = func(to netip.AddrPort, content []byte) {
-		if receiver := w.receiver(address, to); receiver != nil {
-			time.AfterFunc(w.currentDelay(), func() { receiver.Receive(content, address) })
+		if receiver := net.receiver(address, to); receiver != nil {
+			time.AfterFunc(net.currentDelay(), func() { receiver.Receive(content, address) })
 		}
 	}
 	c.Book = &Book{
@@ -128,27 +128,27 @@
 		Capacity: func(shelfshelf.TargetKey) (Capacity, bool) { return Capacity{Slots: testSlots}, true },
 		Grant:    c.Grant,
 	}
-	w.mu.Lock()
-	w.clients[address] = c
-	w.mu.Unlock()
+	net.mu.Lock()
+	net.clients[address] = c
+	net.mu.Unlock()
 	go func() { _ = c.Run(ctx) }()
 }
 
 // held returns the highest number of taken slots of a target in the book of any instance that is
 // alive.
-func (w *network) held(target shelfshelf.TargetKey) int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (net *network) held(target shelfshelf.TargetKey) int {
+	net.mu.Lock()
+	defer net.mu.Unlock()
 	highest := 0
-	for address, c := range w.clients {
-		if !w.dead[address] {
+	for address, c := range net.clients {
+		if !net.dead[address] {
 			highest = max(highest, c.Book.Held(target))
 		}
 	}
 	return highest
 }
 
-func inNetwork(t *testing.T, size int, body func(ctx context.Context, w *network)) {
+func inNetwork(t *testing.T, size int, body func(ctx context.Context, net *network)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
