--- a/places/overload_test.go
+++ b/places/overload_test.go
@@ -71,7 +71,7 @@
 		capacity += slotsPerTarget / slowdown
 	}
 	// A token takes 4 ms. Answers have a median of 200 tokens and a mean of 466; the spread is that
-	// of a recorded day.
+	// of the log of that day (see TestLongRequestsAreNotStarved).
 	meanStay := 0.004 * 200 * math.Exp(1.3*1.3/2)
 	interval := time.Duration(float64(time.Second) * meanStay / capacity / load)
 	var all []*request
@@ -178,11 +178,11 @@
 	return float64(served) / float64(len(requests))
 }
 
-// Long requests must not starve under overload. On a recorded day of high load, 0.23 of the longest
-// tenth of one kind of request were served, and 0.59 of all: queues were ordered by expected
-// duration, shortest first, and nothing aged, so the longest requests were overtaken until their
-// deadline. By tenth of the expected length, the shortest first, attempts were served and refused
-// ("no target: shed") as follows:
+// Long requests must not starve under overload. On a day of high load, 0.23 of the longest tenth of
+// one kind of request were served, and 0.59 of all: queues were ordered by expected duration,
+// shortest first, and nothing aged, so the longest requests were overtaken until their deadline. By
+// tenth of the expected length, the shortest first, attempts were served and refused ("no target:
+// shed") as follows:
 //
 //	served   355 235 236 193 139 139 128 110  80  86
 //	refused  128 240 255 281 315 330 341 358 388 384
