--- a/places/network_test.go
+++ b/places/network_test.go
@@ -19,76 +19,76 @@
 
 const testSlots = 3
 
-// network is instances that reach each other, with datagrams that are late or lost.
+// network connects instances by datagrams that may be delayed or lost.
 type network struct {
-	mu      sync.Mutex
-	clients map[netip.AddrPort]*Client
-	lost    float64
-	delay   time.Duration
-	dead    map[netip.AddrPort]bool
-	// cut are the ways, from and to, on which nothing gets through.
-	cut map[[2]netip.AddrPort]bool
+	mu       sync.Mutex
+	clients  map[netip.AddrPort]*Client
+	lossRate float64
+	delay    time.Duration
+	dead     map[netip.AddrPort]bool
+	// cutLinks are the links (from, to) on which nothing is delivered.
+	cutLinks map[[2]netip.AddrPort]bool
 }
 
-// cutWay lets nothing through from one instance to another; the way back stays open.
-func (w *network) cutWay(from, to netip.AddrPort) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.cut[[2]netip.AddrPort{from, to}] = true
+// cutLink drops everything from one instance to another; the reverse direction stays open.
+func (net *network) cutLink(from, to netip.AddrPort) {
+	net.mu.Lock()
+	defer net.mu.Unlock()
+	net.cutLinks[[2]netip.AddrPort{from, to}] = true
 }
 
 // setDelay sets how long each message takes.
-func (w *network) setDelay(delay time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.delay = delay
+func (net *network) setDelay(delay time.Duration) {
+	net.mu.Lock()
+	defer net.mu.Unlock()
+	net.delay = delay
 }
 
-func (w *network) way() time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.delay
+func (net *network) currentDelay() time.Duration {
+	net.mu.Lock()
+	defer net.mu.Unlock()
+	return net.delay
 }
 
-// setLost sets the part of the messages that are lost.
-func (w *network) setLost(share float64) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.lost = share
+// setLossRate sets the share of the messages that are lost.
+func (net *network) setLossRate(rate float64) {
+	net.mu.Lock()
+	defer net.mu.Unlock()
+	net.lossRate = rate
 }
 
-// kill makes an instance silent; listed says whether others still take it for alive.
-func (w *network) kill(address netip.AddrPort, listed bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.dead[address] = true
+// kill silences an instance; listed says whether the others still consider it alive.
+func (net *network) kill(address netip.AddrPort, listed bool) {
+	net.mu.Lock()
+	defer net.mu.Unlock()
+	net.dead[address] = true
 	if !listed {
-		delete(w.clients, address)
+		delete(net.clients, address)
 	}
 }
 
-// revive lets a silent instance speak again.
-func (w *network) revive(address netip.AddrPort) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	delete(w.dead, address)
+// revive ends the silence of an instance.
+func (net *network) revive(address netip.AddrPort) {
+	net.mu.Lock()
+	defer net.mu.Unlock()
+	delete(net.dead, address)
 }
 
-// receiver returns who takes a message, nil if it is lost.
-func (w *network) receiver(from, to netip.AddrPort) *Client {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if rand.Float64() < w.lost || w.dead[to] || w.dead[from] || w.cut[[2]netip.AddrPort{from, to}] {
+// receiver returns the client that gets a message, or nil if it is lost.
+func (net *network) receiver(from, to netip.AddrPort) *Client {
+	net.mu.Lock()
+	defer net.mu.Unlock()
+	if rand.Float64() < net.lossRate || net.dead[to] || net.dead[from] || net.cutLinks[[2]netip.AddrPort{from, to}] {
 		return nil
 	}
-	return w.clients[to]
+	return net.clients[to]
 }
 
-func (w *network) candidates(shelfshelf.DataCentre) []shelfshelf.Member {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (net *network) candidates(shelfshelf.DataCentre) []shelfshelf.Member {
+	net.mu.Lock()
+	defer net.mu.Unlock()
 	var all []shelfshelf.Member
-	for other := range w.clients {
+	for other := range net.clients {
 		all = append(all, shelfshelf.Member{Hash: xxhash.Sum64String(other.String()), Address: other})
 	}
 	return all
@@ -99,28 +99,28 @@
 }
 
 func newNetwork(ctx context.Context, size int) *network {
-	w := &network{
-		clients: make(map[netip.AddrPort]*Client),
-		dead:    make(map[netip.AddrPort]bool),
-		cut:     make(map[[2]netip.AddrPort]bool),
-		delay:   time.Millisecond,
+	net := &network{
+		clients:  make(map[netip.AddrPort]*Client),
+		dead:     make(map[netip.AddrPort]bool),
+		cutLinks: make(map[[2]netip.AddrPort]bool),
+		delay:    time.Millisecond,
 	}
 	for n := range size {
-		w.add(ctx, addressOf(n+1), 1)
+		net.add(ctx, addressOf(n+1), 1)
 	}
-	return w
+	return net
 }
 
-func (w *network) add(ctx context.Context, address netip.AddrPort, incarnation uint64) {
+func (net *network) add(ctx context.Context, address netip.AddrPort, incarnation uint64) {
 	c := &Client{
 		Clock:      clockwork.NewRealClock(),
 		Log:        log.New(io.Discard),
 		Self:       Holder{Address: address, Incarnation: incarnation},
-		Candidates: w.candidates,
+		Candidates: net.candidates,
 	}
 	c.Send = func(to netip.AddrPort, content []byte) {
-		if receiver := w.receiver(address, to); receiver != nil {
-			time.AfterFunc(w.way(), func() { receiver.Receive(content, address) })
+		if receiver := net.receiver(address, to); receiver != nil {
+			time.AfterFunc(net.currentDelay(), func() { receiver.Receive(content, address) })
 		}
 	}
 	c.Book = &Book{
@@ -128,26 +128,27 @@
 		Capacity: func(shelfshelf.TargetKey) (Capacity, bool) { return Capacity{Slots: testSlots}, true },
 		Grant:    c.Grant,
 	}
-	w.mu.Lock()
-	w.clients[address] = c
-	w.mu.Unlock()
+	net.mu.Lock()
+	net.clients[address] = c
+	net.mu.Unlock()
 	go func() { _ = c.Run(ctx) }()
 }
 
-// held is how many places of an engine its owner counts.
-func (w *network) held(target shelfshelf.TargetKey) int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	most := 0
-	for address, c := range w.clients {
-		if !w.dead[address] {
-			most = max(most, c.Book.Held(target))
+// held returns the highest number of taken slots of a target in the book of any instance that is
+// alive.
+func (net *network) held(target shelfshelf.TargetKey) int {
+	net.mu.Lock()
+	defer net.mu.Unlock()
+	highest := 0
+	for address, c := range net.clients {
+		if !net.dead[address] {
+			highest = max(highest, c.Book.Held(target))
 		}
 	}
-	return most
+	return highest
 }
 
-func inNetwork(t *testing.T, size int, body func(ctx context.Context, w *network)) {
+func inNetwork(t *testing.T, size int, body func(ctx context.Context, net *network)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -157,17 +158,17 @@
 	})
 }
 
-func askOf(target shelfshelf.TargetKey, wait time.Duration) shelfshelf.PlaceAsk {
+func requestFor(target shelfshelf.TargetKey, wait time.Duration) shelfshelf.PlaceAsk {
 	return shelfshelf.PlaceAsk{Target: target, Wait: wait}
 }
 
-// ownedElsewhere returns an engine that another instance owns, and its owner.
-func ownedElsewhere(asker *Client) (shelfshelf.TargetKey, netip.AddrPort) {
+// targetOwnedElsewhere returns a target that another instance owns, and its owner.
+func targetOwnedElsewhere(requester *Client) (shelfshelf.TargetKey, netip.AddrPort) {
 	target := shelfshelf.TargetKey(0)
-	owner, _ := asker.owner(target, "")
-	for owner == asker.Self.Address {
+	owner, _ := requester.respondingOwner(target, "")
+	for owner == requester.Self.Address {
 		target++
-		owner, _ = asker.owner(target, "")
+		owner, _ = requester.respondingOwner(target, "")
 	}
 	return target, owner
 }
