--- a/rollout/choose.go
+++ b/rollout/choose.go
@@ -7,19 +7,18 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-// longestHold is how long a version gets nothing of which it isn't known whether it was
-// ordered. Orders are confirmed every second; while they can't be read for longer, the store
-// is in trouble, and all targets of a pool may be new ones by the time it is back.
-const longestHold = 5 * time.Second
+// maxUnconfirmedHold is how long a version gets no requests while it isn't known whether a rollout to
+// it was ordered. The state of rollouts is confirmed every second. If it can't be read for longer than
+// this, the store has failed, and by the time it is back all targets of a pool may run new versions.
+const maxUnconfirmedHold = 5 * time.Second
 
-// sighting is when a version was first seen: in the list of targets as of a version of the
-// store, and at an instant.
+// sighting records when a version was first seen: the store version of the target list, and the time.
 type sighting struct {
 	version uint64
 	at      time.Time
 }
 
-// Targets takes the list of targets as of a version of the store.
+// Targets sets the list of targets as of a version of the store.
 func (r *Record) Targets(targets []shelfshelf.Target, version uint64) {
 	counts := make(map[shelfshelf.PoolName]map[shelfshelf.TargetVersion]int)
 	for _, target := range targets {
@@ -30,20 +29,20 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.counts = counts
+	r.targetCounts = counts
 	now := r.Clock.Now()
-	if r.versions == nil {
-		r.versions = make(map[shelfshelf.PoolName]map[shelfshelf.TargetVersion]sighting)
+	if r.firstSeen == nil {
+		r.firstSeen = make(map[shelfshelf.PoolName]map[shelfshelf.TargetVersion]sighting)
 	}
-	for pool, of := range counts {
-		known := r.versions[pool]
+	for pool, poolCounts := range counts {
+		known := r.firstSeen[pool]
 		if known == nil {
 			known = make(map[shelfshelf.TargetVersion]sighting)
-			// What most targets run when the pool is first seen is what serves.
-			known[commonest(of)] = sighting{}
-			r.versions[pool] = known
+			// The version of most targets when the pool is first seen is the one that serves.
+			known[mostCommon(poolCounts)] = sighting{}
+			r.firstSeen[pool] = known
 		}
-		for name := range of {
+		for name := range poolCounts {
 			if _, seen := known[name]; !seen {
 				known[name] = sighting{version: version, at: now}
 			}
@@ -51,8 +50,8 @@
 	}
 }
 
-// commonest returns the version that most targets run, of equals the first by name.
-func commonest(counts map[shelfshelf.TargetVersion]int) shelfshelf.TargetVersion {
+// mostCommon returns the version that most targets run; of equally common ones the first by name.
+func mostCommon(counts map[shelfshelf.TargetVersion]int) shelfshelf.TargetVersion {
 	var best shelfshelf.TargetVersion
 	for version, count := range counts {
 		if count > counts[best] || count == counts[best] && version < best {
@@ -62,118 +61,118 @@
 	return best
 }
 
-// Choose says where the next request of a pool may go.
+// Choose returns which targets the next request of a pool may go to.
 func (r *Record) Choose(pool shelfshelf.PoolName, targets []shelfshelf.Target) shelfshelf.VersionChoice {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	held := r.held(pool)
-	o := r.orders[pool]
+	unconfirmed := r.unconfirmed(pool)
+	o := r.rollouts[pool]
 	if o == nil {
-		return shelfshelf.VersionChoice{Ordered: len(held) > 0, Others: true, Barred: held}
+		return shelfshelf.VersionChoice{Ordered: len(unconfirmed) > 0, Others: true, Barred: unconfirmed}
 	}
 	now := r.Clock.Now()
-	word := o.as(now)
-	choice := shelfshelf.VersionChoice{Ordered: true, Version: word.Version, Barred: append(held, word.Barred...)}
+	rollout := o.current(now)
+	choice := shelfshelf.VersionChoice{Ordered: true, Version: rollout.Version, Barred: append(unconfirmed, rollout.Barred...)}
 	switch {
-	case word.State == shelfshelf.RolloutCompleted, r.serves(word):
+	case rollout.State == shelfshelf.RolloutCompleted, r.alreadyServing(rollout):
 		choice.Ordered = len(o.retired)+len(choice.Barred) > 0
 		choice.Retired, choice.Others = o.retired, true
-	case word.Halted || word.State == shelfshelf.RolloutRolledBack:
-	case word.State == shelfshelf.RolloutMoving:
-		share := moveShare(word, r.Bounds.usualMove(word))
+	case rollout.Halted || rollout.State == shelfshelf.RolloutRolledBack:
+	case rollout.State == shelfshelf.RolloutMoving:
+		share := moveShare(rollout, r.Bounds.estimatedMoveTime(rollout))
 		choice.New = r.random() < share
 		choice.Trial = choice.New && share < 1
 	default:
-		r.tryNew(o, word, targets, &choice)
+		r.chooseTrial(o, rollout, targets, &choice)
 	}
 	return choice
 }
 
-// tryNew decides whether a request tries the new version; the lock is held.
-func (r *Record) tryNew(o *order, word shelfshelf.Rollout, targets []shelfshelf.Target, choice *shelfshelf.VersionChoice) {
-	share := r.Bounds.shareSince(word, o.since)
-	if !o.mayTry(share, r.more(word)+o.extra) {
+// chooseTrial decides whether a request tries the new version; the lock is held.
+func (r *Record) chooseTrial(o *trackedRollout, rollout shelfshelf.Rollout, targets []shelfshelf.Target, choice *shelfshelf.VersionChoice) {
+	share := r.Bounds.shareSince(rollout, o.since)
+	if !o.allowsTrial(share, r.extraTrials(rollout)+o.extra) {
 		return
 	}
-	var fresh []shelfshelf.Target
+	var newTargets []shelfshelf.Target
 	old := 0
 	for _, target := range targets {
 		switch {
 		case target.Leaving:
-		case target.Version == word.Version:
-			fresh = append(fresh, target)
+		case target.Version == rollout.Version:
+			newTargets = append(newTargets, target)
 		default:
 			old++
 		}
 	}
-	canaries, probability := r.Bounds.trials(word, old, fresh)
-	choice.New = len(fresh) > 0 && r.random() < probability
+	canaries, probability := r.Bounds.trialTargets(rollout, old, newTargets)
+	choice.New = len(newTargets) > 0 && r.random() < probability
 	choice.Trial = choice.New
 	choice.Canaries = canaries
 }
 
-// more is how many trials an instance may make beyond its share: an even part of the slack, and of
-// the move's part of it while the version is in doubt.
-func (r *Record) more(word shelfshelf.Rollout) float64 {
+// extraTrials returns how many trials this instance may make beyond its share: an equal part of the
+// slack for trials, and also of the slack for the move while the version is in doubt.
+func (r *Record) extraTrials(rollout shelfshelf.Rollout) float64 {
 	if r.Instances == nil {
 		return 0
 	}
-	part := slackTrials
-	if word.Age < word.Doubted {
-		part = slackPart
+	fraction := trialSlackFraction
+	if rollout.Age < rollout.Doubted {
+		fraction = slackFraction
 	}
-	return part * r.Bounds.Slack / float64(max(r.Instances(), 1))
+	return fraction * r.Bounds.Slack / float64(max(r.Instances(), 1))
 }
 
-// Serves reports that the ordered version served before it was ordered: no other is listed
-// that may be used.
-func (r *Record) Serves(word shelfshelf.Rollout) bool {
+// Serves reports whether the ordered version was already serving before it was ordered: no other usable
+// version is listed.
+func (r *Record) Serves(rollout shelfshelf.Rollout) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.serves(word)
+	return r.alreadyServing(rollout)
 }
 
-func (r *Record) serves(word shelfshelf.Rollout) bool {
-	listed := r.counts[word.Pool]
+func (r *Record) alreadyServing(rollout shelfshelf.Rollout) bool {
+	listed := r.targetCounts[rollout.Pool]
 	for version := range listed {
-		if version != word.Version && !slices.Contains(word.Barred, version) {
+		if version != rollout.Version && !slices.Contains(rollout.Barred, version) {
 			return false
 		}
 	}
-	seen, known := r.versions[word.Pool][word.Version]
-	return known && seen.version < word.Revision && listed[word.Version] > 0 &&
-		word.State < shelfshelf.RolloutMoving && !word.Halted
+	seen, known := r.firstSeen[rollout.Pool][rollout.Version]
+	return known && seen.version < rollout.Revision && listed[rollout.Version] > 0 &&
+		rollout.State < shelfshelf.RolloutMoving && !rollout.Halted
 }
 
-// Listed returns how many targets the ordered version has.
-func (r *Record) Listed(word shelfshelf.Rollout) int {
+// Listed returns the number of targets with the ordered version.
+func (r *Record) Listed(rollout shelfshelf.Rollout) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.counts[word.Pool][word.Version]
+	return r.targetCounts[rollout.Pool][rollout.Version]
 }
 
-// listedOthers returns how many targets the pool has of other versions.
-func (r *Record) listedOthers(word shelfshelf.Rollout) int {
+// listedOthers returns the number of the pool's targets with other versions.
+func (r *Record) listedOthers(rollout shelfshelf.Rollout) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	others := 0
-	for version, count := range r.counts[word.Pool] {
-		if version != word.Version {
+	for version, count := range r.targetCounts[rollout.Pool] {
+		if version != rollout.Version {
 			others += count
 		}
 	}
 	return others
 }
 
-// held returns the versions of a pool of which it isn't known yet whether they were ordered;
-// the lock is held.
-func (r *Record) held(pool shelfshelf.PoolName) []shelfshelf.TargetVersion {
-	var held []shelfshelf.TargetVersion
+// unconfirmed returns the versions of a pool for which it isn't known yet whether a rollout was
+// ordered; the lock is held.
+func (r *Record) unconfirmed(pool shelfshelf.PoolName) []shelfshelf.TargetVersion {
+	var unconfirmed []shelfshelf.TargetVersion
 	now := r.Clock.Now()
-	for version, seen := range r.versions[pool] {
-		if seen.version > r.asOf && now.Sub(seen.at) < longestHold {
-			held = append(held, version)
+	for version, seen := range r.firstSeen[pool] {
+		if seen.version > r.asOf && now.Sub(seen.at) < maxUnconfirmedHold {
+			unconfirmed = append(unconfirmed, version)
 		}
 	}
-	return held
+	return unconfirmed
 }
--- a/rollout/codec.go
+++ b/rollout/codec.go
@@ -8,7 +8,7 @@
 )
 
 type (
-	// wireReport is what one instance has counted, in CBOR.
+	// wireReport is the CBOR form of a Report.
 	wireReport struct {
 		_           struct{} `cbor:",toarray"`
 		Instance    string
@@ -32,62 +32,62 @@
 		Target  string
 		Answers uint64
 		Failed  uint64
-		// First and Pace have no zeros at their ends.
+		// First and Pace omit trailing zeros.
 		First []uint64
 		Pace  []uint64
 	}
 )
 
-// Report is what one instance has counted in one of its lives.
+// Report is what one instance has counted during one run.
 type Report struct {
 	Life   Life
 	Orders []Evidence
 }
 
-// EncodeReport returns the form in which instances hand reports to each other.
+// EncodeReport encodes a report for another instance.
 func EncodeReport(report Report) ([]byte, error) {
 	wire := wireReport{Instance: string(report.Life.Instance), Incarnation: report.Life.Incarnation}
 	for _, evidence := range report.Orders {
-		told := wireEvidence{
+		entry := wireEvidence{
 			Pool: string(evidence.Pool), Revision: evidence.Revision, All: evidence.Sent.All, New: evidence.Sent.New,
 			OldRunning: evidence.OldRunning, NewRunning: evidence.NewRunning, Moved: evidence.Moved,
 		}
 		for name, cell := range evidence.Cells {
-			told.Cells = append(told.Cells, wireCell{
+			entry.Cells = append(entry.Cells, wireCell{
 				Route: string(name.Route), Target: string(name.Target), Answers: cell.Answers, Failed: cell.Failed,
-				First: trimmed(cell.First[:]), Pace: trimmed(cell.Pace[:]),
+				First: trimTrailingZeros(cell.First[:]), Pace: trimTrailingZeros(cell.Pace[:]),
 			})
 		}
-		wire.Orders = append(wire.Orders, told)
+		wire.Orders = append(wire.Orders, entry)
 	}
 	content, err := cbor.Marshal(wire)
-	return content, eris.Wrap(err, "encode counts of versions")
+	return content, eris.Wrap(err, "encode rollout report")
 }
 
-// trimmed leaves out the zeros at the end.
-func trimmed(counts []uint64) []uint64 {
+// trimTrailingZeros removes trailing zeros.
+func trimTrailingZeros(counts []uint64) []uint64 {
 	for len(counts) > 0 && counts[len(counts)-1] == 0 {
 		counts = counts[:len(counts)-1]
 	}
 	return counts
 }
 
-// DecodeReport reads a report.
+// DecodeReport decodes a report.
 func DecodeReport(content []byte) (Report, error) {
 	var wire wireReport
 	if err := cbor.Unmarshal(content, &wire); err != nil {
-		return Report{}, eris.Wrap(err, "decode counts of versions")
+		return Report{}, eris.Wrap(err, "decode rollout report")
 	}
 	if wire.Instance == "" {
-		return Report{}, eris.New("decode counts of versions: no instance")
+		return Report{}, eris.New("decode rollout report: instance is missing")
 	}
 	report := Report{Life: Life{Instance: shelfshelf.InstanceID(wire.Instance), Incarnation: wire.Incarnation}}
-	for _, told := range wire.Orders {
+	for _, entry := range wire.Orders {
 		evidence := Evidence{
-			Pool: shelfshelf.PoolName(told.Pool), Revision: told.Revision, Sent: Sent{All: told.All, New: told.New},
-			OldRunning: told.OldRunning, NewRunning: told.NewRunning, Moved: told.Moved, Cells: make(map[CellName]*Cell, len(told.Cells)),
+			Pool: shelfshelf.PoolName(entry.Pool), Revision: entry.Revision, Sent: Sent{All: entry.All, New: entry.New},
+			OldRunning: entry.OldRunning, NewRunning: entry.NewRunning, Moved: entry.Moved, Cells: make(map[CellName]*Cell, len(entry.Cells)),
 		}
-		for _, counted := range told.Cells {
+		for _, counted := range entry.Cells {
 			cell := &Cell{Answers: counted.Answers, Failed: counted.Failed}
 			copy(cell.First[:], counted.First)
 			copy(cell.Pace[:], counted.Pace)
--- a/rollout/doc.go
+++ b/rollout/doc.go
@@ -1,8 +1,8 @@
-// Package rollout moves a pool's requests to targets of another version, as an operator
-// orders it. A small part of the requests tries the new version while all instances count how
-// both versions do, more of them at first and while it is in doubt; sequential tests hold the new
-// one for bad as soon as the counts show it, and one that isn't takes over near the end of the
-// order's period, which is over once it has answered under the whole load. Shares, judgement and
-// moments are plain functions of plain values; Record keeps what one instance knows, and
-// Keeper does what one instance of all has to do.
+// Package rollout moves a pool's requests to targets of another version when an operator orders it.
+// At first a small fraction of the requests tries the new version, more at the start and while there
+// is doubt about it, and all instances count the results of both versions. Sequential tests roll the
+// new version back as soon as the counts show that it is worse. Otherwise it takes over near the end
+// of the rollout's period, and the rollout is completed once the new version has proven itself under
+// the full load. Shares, verdicts and times are computed by pure functions; Record holds the state of
+// one instance, and Keeper does the work that one instance does for all.
 package rollout
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -7,34 +7,34 @@
 )
 
 const (
-	// steps is how many steps a histogram has, stepsPerDouble of them from a time to its
-	// double, and usualStep the one of what is expected.
-	steps          = 24
-	stepsPerDouble = 2
-	usualStep      = 8
-	// mostRoutes bounds the routes that are told apart, as a configuration may have
-	// thousands; the others count as one.
-	mostRoutes  = 64
+	// bucketCount is the number of buckets of a histogram, with bucketsPerDoubling of them between a
+	// time and its double; expectedBucket is the bucket of the expected time.
+	bucketCount        = 24
+	bucketsPerDoubling = 2
+	expectedBucket     = 8
+	// maxRoutes limits the routes that are counted separately, since a configuration may have
+	// thousands; the others are counted as one.
+	maxRoutes   = 64
 	otherRoutes = shelfshelf.RouteName("(others)")
 )
 
-// Histogram counts times in steps that grow by half a doubling each.
-type Histogram [steps]uint64
+// Histogram counts times in exponential buckets, each larger by the square root of 2.
+type Histogram [bucketCount]uint64
 
-// note counts one time, given against what is expected.
-func (h *Histogram) note(ratio float64) {
+// observe counts one time, given as a ratio to the expected time.
+func (h *Histogram) observe(ratio float64) {
 	if ratio <= 0 {
 		return
 	}
-	step := int(math.Round(stepsPerDouble*math.Log2(ratio))) + usualStep
-	h[min(max(step, 0), steps-1)]++
+	bucket := int(math.Round(bucketsPerDoubling*math.Log2(ratio))) + expectedBucket
+	h[min(max(bucket, 0), bucketCount-1)]++
 }
 
-// above counts the times beyond a step, and all.
-func (h *Histogram) above(step int) (above, all uint64) {
+// above returns the number of times beyond a bucket, and of all.
+func (h *Histogram) above(bucket int) (above, all uint64) {
 	for i, count := range h {
 		all += count
-		if i > step {
+		if i > bucket {
 			above += count
 		}
 	}
@@ -47,21 +47,21 @@
 	}
 }
 
-// less takes counts of before away.
-func (h *Histogram) less(before *Histogram) {
+// subtract removes an earlier state of the counts.
+func (h *Histogram) subtract(before *Histogram) {
 	for i := range h {
 		h[i] -= min(before[i], h[i])
 	}
 }
 
-// CellName tells counts apart: by route, and those of the new version by target.
+// CellName identifies a cell by route, and for the new version also by target.
 type CellName struct {
 	Route shelfshelf.RouteName
-	// Target is empty for all targets of old versions together.
+	// Target is empty for the targets of old versions, which are counted together.
 	Target shelfshelf.TargetName
 }
 
-// Cell counts what became of requests; each count only grows.
+// Cell counts the results of requests; the counts never decrease.
 type Cell struct {
 	Answers uint64
 	Failed  uint64
@@ -69,14 +69,14 @@
 	Pace    Histogram
 }
 
-func (c *Cell) note(report shelfshelf.AttemptReport) {
+func (c *Cell) observe(report shelfshelf.AttemptReport) {
 	c.Answers++
 	if report.Failed {
 		c.Failed++
 		return
 	}
-	c.First.note(report.First)
-	c.Pace.note(report.Pace)
+	c.First.observe(report.First)
+	c.Pace.observe(report.Pace)
 }
 
 func (c *Cell) add(other *Cell) {
@@ -86,33 +86,33 @@
 	c.Pace.add(&other.Pace)
 }
 
-func (c *Cell) less(before *Cell) {
+func (c *Cell) subtract(before *Cell) {
 	c.Answers -= min(before.Answers, c.Answers)
 	c.Failed -= min(before.Failed, c.Failed)
-	c.First.less(&before.First)
-	c.Pace.less(&before.Pace)
+	c.First.subtract(&before.First)
+	c.Pace.subtract(&before.Pace)
 }
 
-// Evidence is what one instance has counted since it knows of an order. It only grows, so
-// that repeats and any order of its words do no harm.
+// Evidence is what one instance has counted since it learnt of a rollout. Counts only grow, so repeated
+// and reordered reports do no harm.
 type Evidence struct {
 	Pool     shelfshelf.PoolName
 	Revision uint64
 	Sent     Sent
-	// OldRunning is how many requests the instance has at targets of other versions.
+	// OldRunning is the number of requests that the instance has running at targets of other versions.
 	OldRunning int
-	// NewRunning is the same at targets of the new one.
+	// NewRunning is the same for targets of the new version.
 	NewRunning int
-	// Moved says that it sends nothing more there.
+	// Moved reports that the instance no longer sends requests to old targets.
 	Moved bool
 	Cells map[CellName]*Cell
 }
 
-// note counts what a request has shown.
-func (e *Evidence) note(name CellName, report shelfshelf.AttemptReport) {
+// observe counts the result of one request.
+func (e *Evidence) observe(name CellName, report shelfshelf.AttemptReport) {
 	cell := e.Cells[name]
 	if cell == nil {
-		if len(e.Cells) >= mostRoutes && e.Cells[CellName{Route: name.Route}] == nil {
+		if len(e.Cells) >= maxRoutes && e.Cells[CellName{Route: name.Route}] == nil {
 			name.Route = otherRoutes
 		}
 		if cell = e.Cells[name]; cell == nil {
@@ -120,10 +120,10 @@
 			e.Cells[name] = cell
 		}
 	}
-	cell.note(report)
+	cell.observe(report)
 }
 
-// answers counts all answers.
+// answers returns the number of all answers.
 func (e *Evidence) answers() uint64 {
 	sum := uint64(0)
 	for _, cell := range e.Cells {
@@ -132,48 +132,48 @@
 	return sum
 }
 
-// Merger adds up what the instances have counted, each in its lives. The zero value is ready.
+// Merger sums up the counts of all instances over all their runs. The zero value is ready to use.
 type Merger struct {
-	lives map[Life]*Evidence
+	latest map[Life]*Evidence
 }
 
-// Life is one start of an instance.
+// Life is one run of an instance, from start to end.
 type Life struct {
 	Instance    shelfshelf.InstanceID
 	Incarnation uint64
 }
 
-// Take takes one instance's counts and returns what has come since its last ones. Those of
-// lives that have ended stay counted.
-func (m *Merger) Take(life Life, told Evidence) map[CellName]*Cell {
-	if m.lives == nil {
-		m.lives = make(map[Life]*Evidence)
+// Take adds the counts of one instance and returns the increments since its previous report. The counts
+// of runs that have ended are kept.
+func (m *Merger) Take(life Life, received Evidence) map[CellName]*Cell {
+	if m.latest == nil {
+		m.latest = make(map[Life]*Evidence)
 	}
-	before := m.lives[life]
-	if before != nil && told.answers() < before.answers() {
-		// An earlier word that came late.
+	before := m.latest[life]
+	if before != nil && received.answers() < before.answers() {
+		// An older report that arrived late.
 		return nil
 	}
-	news := make(map[CellName]*Cell, len(told.Cells))
-	for name, cell := range told.Cells {
-		fresh := *cell
+	increments := make(map[CellName]*Cell, len(received.Cells))
+	for name, cell := range received.Cells {
+		increment := *cell
 		if before != nil && before.Cells[name] != nil {
-			fresh.less(before.Cells[name])
+			increment.subtract(before.Cells[name])
 		}
-		if fresh.Answers > 0 {
-			news[name] = &fresh
+		if increment.Answers > 0 {
+			increments[name] = &increment
 		}
 	}
-	m.lives[life] = &told
-	return news
+	m.latest[life] = &received
+	return increments
 }
 
-// Sum returns what all have sent, in all their lives.
+// Sum returns the requests sent by all instances in all their runs.
 func (m *Merger) Sum() Sent {
 	var sent Sent
-	for _, told := range m.lives {
-		sent.All += told.Sent.All
-		sent.New += told.Sent.New
+	for _, received := range m.latest {
+		sent.All += received.Sent.All
+		sent.New += received.Sent.New
 	}
 	return sent
 }
--- a/rollout/fisher.go
+++ b/rollout/fisher.go
@@ -2,37 +2,36 @@
 
 import "math"
 
-// count is a 2x2 table of one stretch of time: of new and old answers, those that are marked.
-type count struct {
-	newAll, newMarked uint64
-	oldAll, oldMarked uint64
+// contingencyTable is the 2x2 table of an interval: new and old answers, in total and bad.
+type contingencyTable struct {
+	newTotal, newBad uint64
+	oldTotal, oldBad uint64
 }
 
-// logRatio returns the logarithm of how much likelier it is, given how many answers are marked
-// in all, that so many of them are the new version's if the odds of a mark are factor times
-// the old version's, than if they are base times (Fisher's noncentral hypergeometric
-// distribution). Given the marks of both versions together, a burst, a lost data centre or a
-// fault that all share says nothing. Its mean is at most 1 wherever the true odds are at most
-// base times the old version's, so that a product over stretches is a test that may be looked
-// at at any moment: it reaches 1/a with a chance of at most a (Ville 1939; Robbins 1970, Ann.
-// Math. Statist. 41).
-func (c count) logRatio(factor, base float64) float64 {
-	marked := c.newMarked + c.oldMarked
-	if marked == 0 || c.newAll == 0 || c.oldAll == 0 {
+// logRatio returns the logarithm of the likelihood ratio of two hypotheses, given the total number of
+// bad answers: that the new version's odds of a bad answer are factor times the old version's, and that
+// they are nullOdds times (Fisher's noncentral hypergeometric distribution). A burst, a lost data
+// centre or a fault that both versions share has no effect, because the total is given. The expected
+// ratio is at most 1 if the true odds are at most nullOdds times the old version's. The product over
+// intervals is therefore a test that can be evaluated at any time: it reaches 1/a with a probability of
+// at most a (Ville 1939; Robbins 1970, Ann. Math. Statist. 41).
+func (c contingencyTable) logRatio(factor, nullOdds float64) float64 {
+	bad := c.newBad + c.oldBad
+	if bad == 0 || c.newTotal == 0 || c.oldTotal == 0 {
 		return 0
 	}
-	return c.logLikelihood(factor, marked) - c.logLikelihood(base, marked)
+	return c.logLikelihood(factor, bad) - c.logLikelihood(nullOdds, bad)
 }
 
-// logLikelihood returns the logarithm of the probability of the new version's marks.
-func (c count) logLikelihood(odds float64, marked uint64) float64 {
+// logLikelihood returns the logarithm of the probability of the new version's number of bad answers.
+func (c contingencyTable) logLikelihood(oddsRatio float64, bad uint64) float64 {
 	least := uint64(0)
-	if marked > c.oldAll {
-		least = marked - c.oldAll
+	if bad > c.oldTotal {
+		least = bad - c.oldTotal
 	}
-	most := min(marked, c.newAll)
+	most := min(bad, c.newTotal)
 	term := func(x uint64) float64 {
-		return logChoose(c.newAll, x) + logChoose(c.oldAll, marked-x) + float64(x)*math.Log(odds)
+		return logChoose(c.newTotal, x) + logChoose(c.oldTotal, bad-x) + float64(x)*math.Log(oddsRatio)
 	}
 	peak := math.Inf(-1)
 	terms := make([]float64, 0, most-least+1)
@@ -44,7 +43,7 @@
 	for _, t := range terms {
 		sum += math.Exp(t - peak)
 	}
-	return term(c.newMarked) - peak - math.Log(sum)
+	return term(c.newBad) - peak - math.Log(sum)
 }
 
 // logChoose returns the logarithm of a binomial coefficient.
@@ -52,7 +51,7 @@
 	return logFactorial(n) - logFactorial(k) - logFactorial(n-k)
 }
 
-// logFactorials are those of small numbers: a verdict needs some hundred thousand of them.
+// logFactorials is a table for small numbers: a verdict needs some hundred thousand of them.
 var logFactorials = func() []float64 {
 	table := make([]float64, 1<<12)
 	for n := 1; n < len(table); n++ {
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -7,113 +7,117 @@
 )
 
 const (
-	// wrongChance is the chance of holding a good version for bad, over all that is looked
-	// at in an order.
-	wrongChance = 0.001
-	// leastBad and badPart are how many of the tried targets, as far as the version has as
-	// many, have to speak against it: a crashed, failing or slow machine is no version, and
-	// of six targets tried three or more are failing by themselves once in 21 times where
-	// 0.15 of all targets are (binomial). No target counts for more than its part.
-	leastBad = 4
-	badPart  = 0.7
-	// failedPart is the same for failures: machines that fail by themselves are fewer than
-	// machines that are slow.
-	failedPart = 0.55
-	// strayPart is the part of targets that may be bad by themselves, whatever they run, in
-	// one way of weighing: each target's ratio is taken against a good version of
-	// which so many are (Huber 1965, Ann. Math. Statist. 36), so that none counts for more
-	// than 1.2. It shows faults that few answers of each target have, over many targets;
-	// strayMargin is what the best of the factors may miss of the best of all.
-	strayPart   = 0.2
-	strayMargin = 1.5
-	// sparedPart is the part of a bad version's targets that may show nothing, as a machine
-	// three times as fast does of being three times slower: without it one such target
-	// outweighs ten others.
-	sparedPart = 0.2
-	// leastMany is from how many targets on all may count in full: of 30 targets, more than 11
-	// bad by themselves, which would make the odds three times those of old ones, are met once in
-	// 1,200 if 0.15 of all targets are (binomial).
-	leastMany = 30
-	// mostFailed and mostSlow are how many marked answers a new version may have at all while
-	// they are mostTimes as frequent as the old one's, or more, also where the targets that have
-	// most of them are left out: the operator's time to roll back counts from the fiftieth bad
-	// answer, and one in four that is slow has no mark.
-	mostFailed = 28
-	mostSlow   = 35
-	mostTimes  = 3.0
-	// leastTrials is how many answers of the new version it takes to hold it for good.
-	leastTrials = 25
-	// doubt is the evidence from which a version is not held for good yet, as the logarithm
-	// of a likelihood ratio.
-	doubt = 3.0
+	// falseRollbackProbability is the probability of rolling back a good version, over all tests of one
+	// rollout.
+	falseRollbackProbability = 0.001
+	// minBadTargets and badTargetFraction are how many of the tried targets must show evidence against
+	// the version, as far as it has that many. One crashed, failing or slow machine doesn't make a bad
+	// version, and if 0.15 of all targets fail on their own, 3 or more of 6 tried targets do once in 21
+	// times (binomial). The evidence of one target is capped at its share of the limit.
+	minBadTargets     = 4
+	badTargetFraction = 0.7
+	// failingTargetFraction is the same for failures: fewer machines fail on their own than are slow on
+	// their own.
+	failingTargetFraction = 0.55
+	// contaminationFraction is the fraction of targets that may be bad on their own, whatever they run,
+	// in one way of combining the evidence: each target's likelihood ratio is taken against a good
+	// version with that many bad targets (contamination model: Huber 1965, Ann. Math. Statist. 36), so
+	// no target counts for more than 1.2. This finds faults that show in few answers each of many
+	// targets. contaminationMargin is the factor by which the best of the alternatives considered may
+	// fall short of the best of all.
+	contaminationFraction = 0.2
+	contaminationMargin   = 1.5
+	// unaffectedFraction is the fraction of a bad version's targets that may show no fault. For
+	// example, a machine that is three times as fast hides a version that is three times slower.
+	// Without it, one such target would outweigh ten others.
+	unaffectedFraction = 0.2
+	// minTargetsUncapped is the number of targets from which their evidence may count without a cap. If
+	// 0.15 of all targets are bad on their own, more than 11 bad ones of 30, which would triple the
+	// odds of the old ones, occur once in 1,200 times (binomial).
+	minTargetsUncapped = 30
+	// maxFailedAnswers and maxSlowAnswers limit how many bad answers a new version may have in total if
+	// their rate is also at least excessRateRatio times that of the old version, without the targets
+	// that have the highest rates. The operator's time limit for a rollback runs from the fiftieth bad
+	// answer, and one in four slow answers isn't counted as slow.
+	maxFailedAnswers = 28
+	maxSlowAnswers   = 35
+	excessRateRatio  = 3.0
+	// minTrials is the number of answers of the new version that are needed to call it good.
+	minTrials = 25
+	// doubtThreshold is the evidence, the logarithm of a likelihood ratio, from which a version can't
+	// be called good yet.
+	doubtThreshold = 3.0
 )
 
-// Verdict is what the counts say of a new version.
+// Verdict is the result of comparing a new version with the old one.
 type Verdict struct {
-	// Bad says that it is worse than the old one beyond chance, and Why by what.
+	// Bad reports that the new version is worse than the old one beyond chance; Why names the criterion
+	// and route.
 	Bad bool
 	Why string
-	// Good says that enough is known of it and nothing speaks against it.
+	// Good reports that there are enough answers and no evidence against the version.
 	Good bool
-	// Trials are its answers, Failed those of them that failed; Old and OldFailed the same
-	// of the others.
+	// Trials counts the answers of the new version and Failed those that failed; Old and OldFailed are
+	// the same for the other versions.
 	Trials, Failed uint64
 	Old, OldFailed uint64
-	// Slower is how many times as long its first answers take as the old ones, on the mean of its
-	// tried targets; 0 if not known.
+	// Slower is the ratio of the new version's time to first answer to the old version's, as the
+	// geometric mean over the tried targets; 0 if unknown.
 	Slower float64
-	// Against is the strongest evidence, a logarithm, and Limit where it makes a version bad.
+	// Against is the strongest evidence against the version, a logarithm; the version is bad from Limit
+	// on.
 	Against float64
 	Limit   float64
 }
 
 const (
-	// leastBeside is how many answers of old targets a stretch should have beside those of
-	// the new ones, or it tells little, and longestStretch how many rounds it lasts at most.
-	leastBeside    = 40
-	longestStretch = 5
+	// minOldAnswers is how many answers of old targets an interval should contain next to those of the
+	// new ones; with fewer it tells little. An interval is closed after maxIntervalRounds in any case.
+	minOldAnswers     = 40
+	maxIntervalRounds = 5
 )
 
-// Judge weighs a new version against the old one at the same time. The zero value is ready.
+// Judge compares a new version with the old one over the same time intervals. The zero value is ready
+// to use.
 type Judge struct {
-	// Targets is how many targets the new version has, OldTargets how many the others have, and
-	// Moving says that the new one takes over.
+	// Targets is the number of targets of the new version and OldTargets that of the others. Moving
+	// reports that traffic is being shifted to the new version.
 	Targets    int
 	OldTargets int
 	Moving     bool
 
-	count int
-	// opened are the stretches that are being counted, and routes those that are weighed.
-	opened map[shelfshelf.RouteName]*stretch
-	routes map[shelfshelf.RouteName][]*stretch
-	// past are the summed ratios of stretches before the last ones, by target and mark.
-	past map[shelfshelf.RouteName]map[shelfshelf.TargetName][][]float64
-	// usual are the old version's answers so far.
-	usual map[shelfshelf.RouteName]*Cell
-	// sums are what both versions have had by route and mark.
-	sums  map[shelfshelf.RouteName]*tally
-	total Verdict
+	round int
+	// openIntervals are still being filled; closedIntervals have their ratios computed.
+	openIntervals   map[shelfshelf.RouteName]*interval
+	closedIntervals map[shelfshelf.RouteName][]*interval
+	// foldedRatios are the summed ratios of intervals older than those kept, by target and criterion.
+	foldedRatios map[shelfshelf.RouteName]map[shelfshelf.TargetName][][]float64
+	// baseline holds the old version's answers so far.
+	baseline map[shelfshelf.RouteName]*Cell
+	// tallies count the answers of both versions by route and criterion.
+	tallies map[shelfshelf.RouteName]*tally
+	total   Verdict
 }
 
-// Add takes what was counted in one stretch of time.
-func (j *Judge) Add(news map[CellName]*Cell) {
-	if j.routes == nil {
-		j.routes = make(map[shelfshelf.RouteName][]*stretch)
-		j.opened = make(map[shelfshelf.RouteName]*stretch)
-		j.usual = make(map[shelfshelf.RouteName]*Cell)
-		j.past = make(map[shelfshelf.RouteName]map[shelfshelf.TargetName][][]float64)
-		j.sums = make(map[shelfshelf.RouteName]*tally)
+// Add adds the counts of one round.
+func (j *Judge) Add(increments map[CellName]*Cell) {
+	if j.closedIntervals == nil {
+		j.closedIntervals = make(map[shelfshelf.RouteName][]*interval)
+		j.openIntervals = make(map[shelfshelf.RouteName]*interval)
+		j.baseline = make(map[shelfshelf.RouteName]*Cell)
+		j.foldedRatios = make(map[shelfshelf.RouteName]map[shelfshelf.TargetName][][]float64)
+		j.tallies = make(map[shelfshelf.RouteName]*tally)
 	}
-	j.count++
-	rounds := make(map[shelfshelf.RouteName]*stretch)
-	for name, cell := range news {
-		// Which requests try the new version doesn't depend on their routes, so that all of
-		// them together may be weighed as one.
+	j.round++
+	rounds := make(map[shelfshelf.RouteName]*interval)
+	for name, cell := range increments {
+		// Which requests try the new version doesn't depend on their route, so all routes can also be
+		// tested together as one.
 		for _, route := range []shelfshelf.RouteName{name.Route, allRoutes} {
 			if rounds[route] == nil {
-				rounds[route] = newStretch(j.count, j.Moving)
+				rounds[route] = newInterval(j.round, j.Moving)
 			}
-			rounds[route].take(name.Target, cell)
+			rounds[route].addCell(name.Target, cell)
 		}
 		if name.Target == "" {
 			j.total.Old += cell.Answers
@@ -124,137 +128,138 @@
 		j.total.Failed += cell.Failed
 	}
 	for route, round := range rounds {
-		j.open(route).join(round)
-		j.sum(route, round)
+		j.openInterval(route).merge(round)
+		j.addToTally(route, round)
 	}
-	for route, s := range j.opened {
-		if s.told() || j.count-s.number >= longestStretch {
-			j.close(route, s)
+	for route, s := range j.openIntervals {
+		if s.hasEnoughAnswers() || j.round-s.number >= maxIntervalRounds {
+			j.closeInterval(route, s)
 		}
 	}
 }
 
-// open returns the stretch of a route that is being counted.
-func (j *Judge) open(route shelfshelf.RouteName) *stretch {
-	s := j.opened[route]
+// openInterval returns the open interval of a route and creates it if needed.
+func (j *Judge) openInterval(route shelfshelf.RouteName) *interval {
+	s := j.openIntervals[route]
 	if s == nil {
-		s = newStretch(j.count, j.Moving)
-		j.opened[route] = s
+		s = newInterval(j.round, j.Moving)
+		j.openIntervals[route] = s
 	}
 	return s
 }
 
-// sum adds one round's answers to what both versions have had on a route.
-func (j *Judge) sum(route shelfshelf.RouteName, round *stretch) {
-	if j.usual[route] == nil {
+// addToTally adds the answers of one round to the totals of a route.
+func (j *Judge) addToTally(route shelfshelf.RouteName, round *interval) {
+	if j.baseline[route] == nil {
 		return
 	}
-	if j.sums[route] == nil {
-		j.sums[route] = newTally()
+	if j.tallies[route] == nil {
+		j.tallies[route] = newTally()
 	}
-	j.sums[route].add(round, j.usual[route])
+	j.tallies[route].add(round, j.baseline[route])
 }
 
-// close weighs a stretch that has been counted.
-func (j *Judge) close(route shelfshelf.RouteName, s *stretch) {
-	delete(j.opened, route)
-	if j.usual[route] == nil {
-		j.usual[route] = &Cell{}
+// closeInterval computes the ratios of an interval and closes it.
+func (j *Judge) closeInterval(route shelfshelf.RouteName, s *interval) {
+	delete(j.openIntervals, route)
+	if j.baseline[route] == nil {
+		j.baseline[route] = &Cell{}
 	}
-	if len(s.fresh) > 0 {
-		s.weigh(j.usual[route])
-		j.routes[route] = append(j.routes[route], s)
+	if len(s.newTargets) > 0 {
+		s.computeRatios(j.baseline[route])
+		j.closedIntervals[route] = append(j.closedIntervals[route], s)
 	}
-	j.usual[route].add(&s.old)
-	j.fold(route)
+	j.baseline[route].add(&s.old)
+	j.foldIntervals(route)
 }
 
-// fold adds up the stretches that no span but the whole needs one by one, so that an order of
+// foldIntervals sums up intervals that only the unbounded window still needs, so that a rollout of
 // hours takes no more memory than one of seconds.
-func (j *Judge) fold(route shelfshelf.RouteName) {
-	stretches := j.routes[route]
-	for len(stretches) > 0 && j.count-stretches[0].number >= longestWindow {
-		if j.past[route] == nil {
-			j.past[route] = make(map[shelfshelf.TargetName][][]float64)
+func (j *Judge) foldIntervals(route shelfshelf.RouteName) {
+	intervals := j.closedIntervals[route]
+	for len(intervals) > 0 && j.round-intervals[0].number >= longestFiniteWindow {
+		if j.foldedRatios[route] == nil {
+			j.foldedRatios[route] = make(map[shelfshelf.TargetName][][]float64)
 		}
-		for name, ratios := range stretches[0].ratios {
-			if j.past[route][name] == nil {
-				j.past[route][name] = make([][]float64, len(marks))
+		for name, ratios := range intervals[0].ratios {
+			if j.foldedRatios[route][name] == nil {
+				j.foldedRatios[route][name] = make([][]float64, len(criteria))
 			}
-			for m := range marks {
+			for m := range criteria {
 				if len(ratios[m]) > 0 {
-					j.past[route][name][m] = addTo(j.past[route][name][m], ratios[m], func(ratio float64) float64 { return ratio })
+					j.foldedRatios[route][name][m] = addTransformed(j.foldedRatios[route][name][m], ratios[m], func(ratio float64) float64 { return ratio })
 				}
 			}
 		}
-		stretches = stretches[1:]
+		intervals = intervals[1:]
 	}
-	j.routes[route] = stretches
+	j.closedIntervals[route] = intervals
 }
 
-// Verdict judges by all that was counted.
+// Verdict evaluates everything counted so far.
 func (j *Judge) Verdict() Verdict {
 	verdict := j.total
-	verdict.Slower = j.slower()
+	verdict.Slower = j.slowdownFactor()
 	verdict.Limit = j.limit(allRoutes)
 	verdict.Against = math.Inf(-1)
 	for _, window := range windows {
-		for i, m := range marks {
-			for route := range j.routes {
-				// What a route needs more than all of them together is taken away, so that one
-				// limit stands for all.
+		for i, m := range criteria {
+			for route := range j.closedIntervals {
+				// Subtracts the difference between the limits of this route and of all routes together,
+				// so that the result can be compared with a single limit.
 				limit := j.limit(route)
-				verdict.weigh(j.against(i, route, window, limit)-limit+verdict.Limit, m.name+" on "+string(route))
+				verdict.consider(j.evidence(i, route, window, limit)-limit+verdict.Limit, m.name+" on "+string(route))
 			}
 		}
 	}
-	if why := j.tooMany(); why != "" {
+	if why := j.excessiveCriterion(); why != "" {
 		verdict.Against, verdict.Why = verdict.Limit, why
 	}
 	verdict.Bad = verdict.Against >= verdict.Limit
-	verdict.Good = !verdict.Bad && !verdict.Doubted() && verdict.Trials >= leastTrials
+	verdict.Good = !verdict.Bad && !verdict.Doubted() && verdict.Trials >= minTrials
 	return verdict
 }
 
-// limit is the evidence on a route from which a version is bad. Half of the chance of holding a good
-// one for bad is for all routes together, where most faults show, and each route has an even part
-// of the rest.
+// limit returns the evidence on a route from which a version is bad. Half of the permitted error
+// probability goes to the test of all routes together, where most faults show; the rest is divided
+// evenly among the single routes.
 func (j *Judge) limit(route shelfshelf.RouteName) float64 {
-	tests := 2 * ways * len(marks) * len(windows)
+	tests := 2 * combinationCount * len(criteria) * len(windows)
 	if route != allRoutes {
-		tests *= max(len(j.routes)-1, 1)
+		tests *= max(len(j.closedIntervals)-1, 1)
 	}
-	return math.Log(float64(tests) / wrongChance)
+	return math.Log(float64(tests) / falseRollbackProbability)
 }
 
-// shift returns by how many deviations the tried targets are slower on a route than a good
-// version's may be.
-func (j *Judge) shift(mark int, route shelfshelf.RouteName) float64 {
-	sums := j.sums[route]
-	if sums == nil || marks[mark].times == nil {
+// slowdownDeviations returns by how many standard deviations the tried targets are slower on a route
+// than those of a good version may be.
+func (j *Judge) slowdownDeviations(criterion int, route shelfshelf.RouteName) float64 {
+	sums := j.tallies[route]
+	if sums == nil || criteria[criterion].histogram == nil {
 		return 0
 	}
-	return shift(sums.tried(mark), marks[mark].times(j.usual[route]), j.OldTargets)
+	return slowdownDeviations(sums.triedTargets(criterion), criteria[criterion].histogram(j.baseline[route]), j.OldTargets)
 }
 
-// slower returns how many times as long the tried targets' first answers take.
-func (j *Judge) slower() float64 {
-	sums, usual := j.sums[allRoutes], j.usual[allRoutes]
-	if sums == nil || usual == nil {
+// slowdownFactor returns the ratio of the tried targets' time to first answer to that of the old ones.
+func (j *Judge) slowdownFactor() float64 {
+	sums, baseline := j.tallies[allRoutes], j.baseline[allRoutes]
+	if sums == nil || baseline == nil {
 		return 0
 	}
-	longer, count := slower(sums.tried(firstAnswers), &usual.First)
+	slowdown, count := meanSlowdown(sums.triedTargets(firstAnswerIndex), &baseline.First)
 	if count == 0 {
 		return 0
 	}
-	return math.Exp(longer)
+	return math.Exp(slowdown)
 }
 
-// tooMany returns which marked answers the new version has had too many of; empty if none.
-func (j *Judge) tooMany() string {
-	for route, sums := range j.sums {
-		for i, m := range marks {
-			if sums.tooMany(i) && (m.times == nil || j.shift(i, route) >= dueDeviations) {
+// excessiveCriterion returns the criterion by which the new version has had too many bad answers; empty
+// if there is none.
+func (j *Judge) excessiveCriterion() string {
+	for route, sums := range j.tallies {
+		for i, m := range criteria {
+			if sums.excessive(i) && (m.histogram == nil || j.slowdownDeviations(i, route) >= minExcessDeviations) {
 				return "too many: " + m.name + " on " + string(route)
 			}
 		}
@@ -262,10 +267,10 @@
 	return ""
 }
 
-// Doubted reports that what was counted speaks against the version but doesn't suffice.
-func (v *Verdict) Doubted() bool { return !v.Bad && v.Against >= doubt }
+// Doubted reports that there is evidence against the version, but not enough for a rollback.
+func (v *Verdict) Doubted() bool { return !v.Bad && v.Against >= doubtThreshold }
 
-func (v *Verdict) weigh(against float64, what string) {
+func (v *Verdict) consider(against float64, what string) {
 	if against > v.Against {
 		v.Against, v.Why = against, what
 	}
--- a/rollout/keeper.go
+++ b/rollout/keeper.go
@@ -12,100 +12,104 @@
 )
 
 const (
-	// askPeriod is how often the counts of the others are asked for while an order is under
-	// way, where a hundred are asked, and longer with more; a bad version gets some 10
-	// requests meanwhile.
-	askPeriod     = 300 * time.Millisecond
-	asksPerPeriod = 100
-	// movePeriod is the same while it moves, where the operator waits for the last answers
-	// of the old targets.
-	movePeriod = 120 * time.Millisecond
-	// askTimeout bounds one ask and asksAtOnce how many are under way.
-	askTimeout = 250 * time.Millisecond
-	asksAtOnce = 24
-	// doubtLasts is how long a doubt holds that is not renewed.
-	doubtLasts = 1500 * time.Millisecond
-	// saveTimeout bounds a write or a read of how far an order has come.
-	saveTimeout = 700 * time.Millisecond
-	// overdueFactor times as many trials under way as usual, and overdueSlack more, put the
-	// move off.
-	overdueFactor = 3
-	overdueSlack  = 5
-	// wholeAnswers is how many answers under the whole load a new version is judged by before the
-	// old targets stop, and longestProof how long they are waited for in a pool with few requests.
-	wholeAnswers = 30
-	longestProof = 2 * time.Second
-	// longestDrain is how long the answers of old targets are waited for before they are
-	// stopped all the same, and silentDrain the same for instances that don't answer: those
-	// that can't be reached for longer are not in touch.
-	longestDrain = 16 * time.Second
-	silentDrain  = 4 * time.Second
+	// pollInterval is the time between two polls of the other instances' counts while a rollout is
+	// active, for up to pollsPerInterval instances; it grows in proportion with more. A bad version
+	// gets about 10 requests in that time.
+	pollInterval     = 300 * time.Millisecond
+	pollsPerInterval = 100
+	// movePollInterval is the same during the move, when the operator waits for the last answers of the
+	// old targets.
+	movePollInterval = 120 * time.Millisecond
+	// pollTimeout bounds one round of polls and maxConcurrentPolls the number in flight.
+	pollTimeout        = 250 * time.Millisecond
+	maxConcurrentPolls = 24
+	// doubtDuration is how long a doubt lasts unless it is renewed.
+	doubtDuration = 1500 * time.Millisecond
+	// storeTimeout bounds a read or write of rollout states.
+	storeTimeout = 700 * time.Millisecond
+	// The move is delayed while more than overdueTrialFactor times the expected number of trials, plus
+	// overdueTrialSlack, are in flight.
+	overdueTrialFactor = 3
+	overdueTrialSlack  = 5
+	// minFullLoadAnswers is how many answers under the full load the new version is judged by before
+	// the old targets stop. maxProofWait limits the wait for them in a pool with few requests.
+	minFullLoadAnswers = 30
+	maxProofWait       = 2 * time.Second
+	// maxDrainWait limits the wait for the answers of old targets; after it they are stopped anyway.
+	// unreachableDrainWait is the same for instances that don't respond: an instance that stays
+	// unreachable for longer is considered disconnected.
+	maxDrainWait         = 16 * time.Second
+	unreachableDrainWait = 4 * time.Second
 )
 
-// Keeper asks the instances for their counts, judges, and does what one of all has to do:
-// it writes down how far orders have come. Fields are set before Run.
+// Keeper polls the instances for their counts and evaluates them. On the leading instance it also
+// records the progress of rollouts in the store. Fields are set before Run.
 type Keeper struct {
 	Clock  shelfshelf.Clock
 	Log    *log.Logger
 	Record *Record
 	Store  shelfshelf.RolloutStore
-	// Self is this instance's life.
+	// Self identifies this instance and its current run.
 	Self Life
-	// Leads reports that this instance is the one that writes, Asks that it asks others at
-	// all: the first of each data centre does, so that a cut stops no judgement.
+	// Leads reports whether this instance is the one that writes to the store. Asks reports whether it
+	// polls others at all: the first instance of each data centre does, so that a network partition
+	// doesn't stop the evaluation.
 	Leads func() bool
 	Asks  func() bool
 	// Others returns the addresses of the other instances, of this data centre or of all.
 	Others func(all bool) []string
-	// Ask asks the instance at an address for its counts.
+	// Ask fetches the counts of the instance at an address.
 	Ask func(ctx context.Context, address string) (Report, error)
 
-	cases map[shelfshelf.PoolName]*trial
-	// asked is how many instances were asked last.
-	asked int
+	progress map[shelfshelf.PoolName]*rolloutProgress
+	// polledCount is the number of instances in the last round of polls.
+	polledCount int
 }
 
-// trial is what is known of one order under way.
-type trial struct {
+// rolloutProgress is what this instance knows of one active rollout.
+type rolloutProgress struct {
 	revision uint64
-	// began is since when requests were counted, by the first round of asks.
+	// began is the time of the first round of polls.
 	began   time.Time
 	merger  Merger
 	judge   Judge
 	verdict Verdict
-	// free says of each instance whether it said last that it sends nothing to old targets
-	// and has nothing there.
-	free map[shelfshelf.InstanceID]bool
-	// known counts the instances of the last round, and silent those that didn't answer.
-	known  int
-	silent int
-	// movedAt is since when none of those that answer sends to old targets; zero before.
-	movedAt time.Time
-	sending int
-	// answersAtMove is how many answers of the new version were counted at movedAt.
+	// drainedInstances holds, by instance, whether it last reported that it sends nothing to old
+	// targets and has no requests running there.
+	drainedInstances map[shelfshelf.InstanceID]bool
+	// instanceCount is the number of instances in the last round and unreachable that of those which
+	// didn't respond.
+	instanceCount int
+	unreachable   int
+	// movedAt is the time since which no responding instance sends to old targets; zero before.
+	movedAt      time.Time
+	sendingToOld int
+	// answersAtMove is the number of the new version's answers counted by movedAt.
 	answersAtMove uint64
-	// oldRunning and newRunning are the requests at targets of both, by the last round.
+	// oldRunning and newRunning count the running requests at targets of old and new versions in the
+	// last round.
 	oldRunning, newRunning int
 }
 
-// Report returns what this instance has counted.
+// Report returns the counts of this instance.
 func (k *Keeper) Report() Report {
 	return Report{Life: k.Self, Orders: k.Record.Counted()}
 }
 
-// Run judges and writes until the context ends; it sleeps while no order is under way.
+// Run evaluates rollouts and records their progress until the context ends. It is idle while none is
+// active.
 func (k *Keeper) Run(ctx context.Context) error { return k.loop(ctx) }
 
 func (k *Keeper) loop(ctx context.Context) error {
-	k.cases = make(map[shelfshelf.PoolName]*trial)
+	k.progress = make(map[shelfshelf.PoolName]*rolloutProgress)
 	for ctx.Err() == nil {
-		under := k.Record.Under()
+		active := k.Record.Under()
 		var next <-chan time.Time
 		switch {
-		case len(under) > 0:
-			next = k.Clock.After(k.pause(under))
+		case len(active) > 0:
+			next = k.Clock.After(k.pollPause(active))
 		case len(k.Record.Unsaved()) > 0:
-			next = k.Clock.After(restorePause)
+			next = k.Clock.After(saveAgainPause)
 		}
 		select {
 		case <-ctx.Done():
@@ -113,196 +117,197 @@
 		case <-k.Record.Changes():
 		case <-next:
 		}
-		k.restore(ctx, k.Leads())
-		if under = k.Record.Under(); len(under) > 0 && k.Asks() {
-			k.look(ctx, under)
+		k.saveAgain(ctx, k.Leads())
+		if active = k.Record.Under(); len(active) > 0 && k.Asks() {
+			k.poll(ctx, active)
 		}
 	}
 	return nil
 }
 
-// pause is the time between two rounds of asks.
-func (k *Keeper) pause(under []shelfshelf.Rollout) time.Duration {
-	period := askPeriod
-	for _, word := range under {
-		if word.State == shelfshelf.RolloutMoving {
-			period = movePeriod
+// pollPause returns the time until the next round of polls.
+func (k *Keeper) pollPause(active []shelfshelf.Rollout) time.Duration {
+	period := pollInterval
+	for _, rollout := range active {
+		if rollout.State == shelfshelf.RolloutMoving {
+			period = movePollInterval
 		}
 	}
-	return period * time.Duration(max(asksPerPeriod, k.asked)) / asksPerPeriod
+	return period * time.Duration(max(pollsPerInterval, k.polledCount)) / pollsPerInterval
 }
 
-// look asks the others, judges each order and does what is due.
-func (k *Keeper) look(ctx context.Context, under []shelfshelf.Rollout) {
+// poll fetches the counts of the others and evaluates each rollout.
+func (k *Keeper) poll(ctx context.Context, active []shelfshelf.Rollout) {
 	leads := k.Leads()
-	reports, silent := k.askAll(ctx, leads)
-	k.step(ctx, under, append(reports, k.Report()), silent, leads)
+	reports, unreachable := k.pollAll(ctx, leads)
+	k.evaluateAll(ctx, active, append(reports, k.Report()), unreachable, leads)
 }
 
-// step judges each order by what the instances have told, and does what is due.
-func (k *Keeper) step(ctx context.Context, under []shelfshelf.Rollout, reports []Report, silent int, leads bool) {
-	for _, word := range under {
-		t := k.cases[word.Pool]
-		if t == nil || t.revision != word.Revision {
-			t = &trial{revision: word.Revision, began: k.Clock.Now(), free: make(map[shelfshelf.InstanceID]bool)}
-			k.cases[word.Pool] = t
+// evaluateAll evaluates each rollout by the reports of the instances and takes the next step.
+func (k *Keeper) evaluateAll(ctx context.Context, active []shelfshelf.Rollout, reports []Report, unreachable int, leads bool) {
+	for _, rollout := range active {
+		t := k.progress[rollout.Pool]
+		if t == nil || t.revision != rollout.Revision {
+			t = &rolloutProgress{revision: rollout.Revision, began: k.Clock.Now(), drainedInstances: make(map[shelfshelf.InstanceID]bool)}
+			k.progress[rollout.Pool] = t
 		}
-		t.judge.Moving = word.State == shelfshelf.RolloutMoving
-		t.take(word, reports, silent)
-		k.judge(word, t)
+		t.judge.Moving = rollout.State == shelfshelf.RolloutMoving
+		t.addReports(rollout, reports, unreachable)
+		k.evaluate(rollout, t)
 		if leads {
-			k.advance(ctx, word, t)
+			k.advance(ctx, rollout, t)
 		}
 	}
 }
 
-// askAll asks the others for their counts, and returns how many did not answer.
-func (k *Keeper) askAll(ctx context.Context, all bool) (reports []Report, silent int) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+// pollAll fetches the counts of the others and returns how many instances didn't respond.
+func (k *Keeper) pollAll(ctx context.Context, all bool) (reports []Report, unreachable int) {
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	addresses := k.Others(all)
-	k.asked = len(addresses)
+	k.polledCount = len(addresses)
 	answers := make(chan *Report, len(addresses))
-	slots := make(chan struct{}, asksAtOnce)
+	slots := make(chan struct{}, maxConcurrentPolls)
 	var wait sync.WaitGroup
 	for _, address := range addresses {
 		wait.Add(1)
 		slots <- struct{}{}
-		go k.runAsk(ctx, address, answers, slots, &wait)
+		go k.pollInstance(ctx, address, answers, slots, &wait)
 	}
 	wait.Wait()
 	close(answers)
 	for report := range answers {
 		if report == nil {
-			silent++
+			unreachable++
 			continue
 		}
 		reports = append(reports, *report)
 	}
-	return reports, silent
+	return reports, unreachable
 }
 
-func (k *Keeper) runAsk(ctx context.Context, address string, answers chan<- *Report, slots <-chan struct{}, wait *sync.WaitGroup) {
+func (k *Keeper) pollInstance(ctx context.Context, address string, answers chan<- *Report, slots <-chan struct{}, wait *sync.WaitGroup) {
 	defer wait.Done()
 	defer func() { <-slots }()
 	report, err := k.Ask(ctx, address)
 	if err != nil {
-		k.Log.Debug("An instance gives no counts of versions.", "from", address, "error", err)
+		k.Log.Debug("Could not fetch an instance's counts.", "from", address, "error", err)
 		answers <- nil
 		return
 	}
 	answers <- &report
 }
 
-// take adds one round of reports.
-func (t *trial) take(word shelfshelf.Rollout, reports []Report, silent int) {
-	t.silent, t.sending, t.known = silent, 0, len(reports)+silent
+// addReports adds the reports of one round.
+func (t *rolloutProgress) addReports(rollout shelfshelf.Rollout, reports []Report, unreachable int) {
+	t.unreachable, t.sendingToOld, t.instanceCount = unreachable, 0, len(reports)+unreachable
 	t.oldRunning, t.newRunning = 0, 0
-	news := make(map[CellName]*Cell)
+	increments := make(map[CellName]*Cell)
 	for _, report := range reports {
-		told := report.of(word)
-		t.free[report.Life.Instance] = told != nil && told.Moved && told.OldRunning == 0
-		if told == nil || !told.Moved {
-			t.sending++
+		evidence := report.evidenceFor(rollout)
+		t.drainedInstances[report.Life.Instance] = evidence != nil && evidence.Moved && evidence.OldRunning == 0
+		if evidence == nil || !evidence.Moved {
+			t.sendingToOld++
 		}
-		if told == nil {
-			// It has not heard of the order.
+		if evidence == nil {
+			// The instance doesn't know of the rollout yet.
 			continue
 		}
-		t.oldRunning += told.OldRunning
-		t.newRunning += told.NewRunning
-		for name, cell := range t.merger.Take(report.Life, *told) {
-			if news[name] == nil {
-				news[name] = &Cell{}
+		t.oldRunning += evidence.OldRunning
+		t.newRunning += evidence.NewRunning
+		for name, cell := range t.merger.Take(report.Life, *evidence) {
+			if increments[name] == nil {
+				increments[name] = &Cell{}
 			}
-			news[name].add(cell)
+			increments[name].add(cell)
 		}
 	}
-	t.judge.Add(news)
+	t.judge.Add(increments)
 }
 
-// of returns what a report says of an order; nil if nothing.
-func (r *Report) of(word shelfshelf.Rollout) *Evidence {
-	for i, told := range r.Orders {
-		if told.Pool == word.Pool && told.Revision == word.Revision {
+// evidenceFor returns the part of a report about a rollout; nil if there is none.
+func (r *Report) evidenceFor(rollout shelfshelf.Rollout) *Evidence {
+	for i, evidence := range r.Orders {
+		if evidence.Pool == rollout.Pool && evidence.Revision == rollout.Revision {
 			return &r.Orders[i]
 		}
 	}
 	return nil
 }
 
-// judge judges an order; a version that is held for bad gets nothing more from the instant
-// at which the others hear of it, whether it can be written down or not.
-func (k *Keeper) judge(word shelfshelf.Rollout, t *trial) {
-	t.judge.Targets, t.judge.OldTargets = k.Record.Listed(word), k.Record.listedOthers(word)
+// evaluate computes the verdict on a rollout. A version found bad is halted at once: the other
+// instances stop sending to it as soon as they learn of it, whether or not the rollback can be stored.
+func (k *Keeper) evaluate(rollout shelfshelf.Rollout, t *rolloutProgress) {
+	t.judge.Targets, t.judge.OldTargets = k.Record.Listed(rollout), k.Record.listedOthers(rollout)
 	t.verdict = t.judge.Verdict()
-	if !t.verdict.Bad || word.Halted {
-		k.doubt(word, t)
+	if !t.verdict.Bad || rollout.Halted {
+		k.extendDoubt(rollout, t)
 		return
 	}
-	k.log(word, t, "A new version is held for bad.")
-	word.Halted = true
-	k.Record.Heard([]shelfshelf.Rollout{word}, 0, "own verdict")
+	k.logProgress(rollout, t, "New version is bad; halting the rollout.")
+	rollout.Halted = true
+	k.Record.Heard([]shelfshelf.Rollout{rollout}, 0, "own verdict")
 }
 
-// doubt has the others try more of a version in doubt, so that it is soon decided.
-func (k *Keeper) doubt(word shelfshelf.Rollout, t *trial) {
-	if !t.verdict.Doubted() || word.State >= shelfshelf.RolloutMoving || word.Doubted-word.Age > doubtLasts/2 {
+// extendDoubt makes the instances send more trials to a version in doubt, so that the decision comes
+// soon.
+func (k *Keeper) extendDoubt(rollout shelfshelf.Rollout, t *rolloutProgress) {
+	if !t.verdict.Doubted() || rollout.State >= shelfshelf.RolloutMoving || rollout.Doubted-rollout.Age > doubtDuration/2 {
 		return
 	}
-	k.log(word, t, "A new version is in doubt.")
-	word.Doubted = word.Age + doubtLasts
-	k.Record.Heard([]shelfshelf.Rollout{word}, 0, "own verdict")
+	k.logProgress(rollout, t, "New version is in doubt; sending more trials.")
+	rollout.Doubted = rollout.Age + doubtDuration
+	k.Record.Heard([]shelfshelf.Rollout{rollout}, 0, "own verdict")
 }
 
-func (k *Keeper) log(word shelfshelf.Rollout, t *trial, line string) {
+func (k *Keeper) logProgress(rollout shelfshelf.Rollout, t *rolloutProgress, line string) {
 	sent := t.merger.Sum()
-	k.Log.Info(line, "pool", word.Pool, "version", word.Version, "revision", word.Revision, "state", word.State, "age", word.Age,
-		"period", word.Period, "by", t.verdict.Why, "against", t.verdict.Against, "limit", t.verdict.Limit, "trials", t.verdict.Trials,
+	k.Log.Info(line, "pool", rollout.Pool, "version", rollout.Version, "revision", rollout.Revision, "state", rollout.State, "age", rollout.Age,
+		"period", rollout.Period, "by", t.verdict.Why, "against", t.verdict.Against, "limit", t.verdict.Limit, "trials", t.verdict.Trials,
 		"trialsFailed", t.verdict.Failed, "slower", t.verdict.Slower, "others", t.verdict.Old, "othersFailed", t.verdict.OldFailed, "sent", sent.All, "sentNew", sent.New)
 }
 
-// advance takes the next step of an order.
-func (k *Keeper) advance(ctx context.Context, word shelfshelf.Rollout, t *trial) {
+// advance takes the next step of a rollout.
+func (k *Keeper) advance(ctx context.Context, rollout shelfshelf.Rollout, t *rolloutProgress) {
 	now := k.Clock.Now()
 	switch {
-	case word.Halted || t.verdict.Bad:
-		k.save(ctx, word, t, shelfshelf.RolloutRolledBack)
-	case k.Record.Serves(word):
-		k.save(ctx, word, t, shelfshelf.RolloutCompleted)
-	case word.State == shelfshelf.RolloutOrdered:
-		k.save(ctx, word, t, shelfshelf.RolloutServing)
-	case word.State == shelfshelf.RolloutServing && k.mayMove(word, t):
-		k.log(word, t, "A new version is held for good and takes over.")
-		word.State = shelfshelf.RolloutMoving
-		k.Record.Heard([]shelfshelf.Rollout{word}, 0, "own verdict")
-	case word.State == shelfshelf.RolloutMoving && t.drained(now) && t.proven(now):
-		k.save(ctx, word, t, shelfshelf.RolloutCompleted)
+	case rollout.Halted || t.verdict.Bad:
+		k.saveState(ctx, rollout, t, shelfshelf.RolloutRolledBack)
+	case k.Record.Serves(rollout):
+		k.saveState(ctx, rollout, t, shelfshelf.RolloutCompleted)
+	case rollout.State == shelfshelf.RolloutOrdered:
+		k.saveState(ctx, rollout, t, shelfshelf.RolloutServing)
+	case rollout.State == shelfshelf.RolloutServing && k.mayStartMove(rollout, t):
+		k.logProgress(rollout, t, "New version is good; starting the move.")
+		rollout.State = shelfshelf.RolloutMoving
+		k.Record.Heard([]shelfshelf.Rollout{rollout}, 0, "own verdict")
+	case rollout.State == shelfshelf.RolloutMoving && t.drained(now) && t.proven(now):
+		k.saveState(ctx, rollout, t, shelfshelf.RolloutCompleted)
 	}
 }
 
-// mayMove reports that the new version may take over: near the deadline, or past it.
-func (k *Keeper) mayMove(word shelfshelf.Rollout, t *trial) bool {
-	left := word.Period - word.Age
+// mayStartMove reports whether the new version may take over: near the deadline or after it.
+func (k *Keeper) mayStartMove(rollout shelfshelf.Rollout, t *rolloutProgress) bool {
+	left := rollout.Period - rollout.Age
 	sent := t.merger.Sum()
-	if left > k.Record.Bounds.moveTime(word, sent, k.Clock.Now().Sub(t.began)) || k.Record.Listed(word) == 0 {
+	if left > k.Record.Bounds.moveTime(rollout, sent, k.Clock.Now().Sub(t.began)) || k.Record.Listed(rollout) == 0 {
 		return false
 	}
-	// A pool with fewer requests than the slack in its whole period has nothing to show.
-	idle := left <= 0 && float64(sent.All) < slackPart*k.Record.Bounds.Slack && !t.verdict.Bad
-	return t.verdict.Good && !t.overdue(k.Record.Bounds.trialShare()) || idle
+	// A pool with fewer requests than the slack in its whole period can't provide evidence.
+	idle := left <= 0 && float64(sent.All) < slackFraction*k.Record.Bounds.Slack && !t.verdict.Bad
+	return t.verdict.Good && !t.trialsOverdue(k.Record.Bounds.trialShare()) || idle
 }
 
-// overdue reports that more trials are still under way than a version as fast as the old one
-// would have: answers that come much later are not counted yet.
-func (t *trial) overdue(share float64) bool {
-	usual := share / (1 - share) * float64(t.oldRunning)
-	return float64(t.newRunning) > overdueFactor*usual+overdueSlack
+// trialsOverdue reports that more trials are in flight than there would be for a version as fast as the
+// old one: very late answers aren't counted yet.
+func (t *rolloutProgress) trialsOverdue(share float64) bool {
+	expected := share / (1 - share) * float64(t.oldRunning)
+	return float64(t.newRunning) > overdueTrialFactor*expected+overdueTrialSlack
 }
 
-// drained reports that nothing is lost if the old targets stop.
-func (t *trial) drained(now time.Time) bool {
-	if t.sending > 0 {
+// drained reports that no requests are lost if the old targets stop.
+func (t *rolloutProgress) drained(now time.Time) bool {
+	if t.sendingToOld > 0 {
 		t.movedAt = time.Time{}
 		return false
 	}
@@ -310,8 +315,8 @@
 		t.movedAt, t.answersAtMove = now, t.verdict.Trials
 	}
 	free, busy := 0, 0
-	for _, is := range t.free {
-		if is {
+	for _, instanceDrained := range t.drainedInstances {
+		if instanceDrained {
 			free++
 		} else {
 			busy++
@@ -320,56 +325,57 @@
 	waited := now.Sub(t.movedAt)
 	switch {
 	case busy > 0:
-		return waited >= longestDrain
-	case t.silent > 0 && free < t.known:
-		return waited >= silentDrain
+		return waited >= maxDrainWait
+	case t.unreachable > 0 && free < t.instanceCount:
+		return waited >= unreachableDrainWait
 	}
 	return true
 }
 
-// proven reports that the new version has answered under the whole load as it should: a fault that
-// shows only there would reach all callers once the old targets have stopped.
-func (t *trial) proven(now time.Time) bool {
+// proven reports that the new version has answered properly under the full load. A fault that only
+// shows there would reach all callers once the old targets have stopped.
+func (t *rolloutProgress) proven(now time.Time) bool {
 	waited := now.Sub(t.movedAt)
 	if t.verdict.Doubted() {
-		return waited >= longestDrain
+		return waited >= maxDrainWait
 	}
-	return t.verdict.Trials-t.answersAtMove >= wholeAnswers || waited >= longestProof
+	return t.verdict.Trials-t.answersAtMove >= minFullLoadAnswers || waited >= maxProofWait
 }
 
-// save writes a step down; what the store says of an end stands.
-func (k *Keeper) save(ctx context.Context, word shelfshelf.Rollout, t *trial, state shelfshelf.RolloutState) {
-	ctx, cancel := context.WithTimeout(ctx, saveTimeout)
+// saveState stores the new state of a rollout. If the store already has a final state, that one
+// applies.
+func (k *Keeper) saveState(ctx context.Context, rollout shelfshelf.Rollout, t *rolloutProgress, state shelfshelf.RolloutState) {
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	word.State = state
-	stored, err := k.Store.SaveRollout(ctx, word)
+	rollout.State = state
+	stored, err := k.Store.SaveRollout(ctx, rollout)
 	if err == nil {
-		word.Stored = stored
-		k.log(word, t, "A step of an order is written down.")
-		k.Record.Heard([]shelfshelf.Rollout{word}, 0, "own write")
+		rollout.Stored = stored
+		k.logProgress(rollout, t, "Stored a new rollout state.")
+		k.Record.Heard([]shelfshelf.Rollout{rollout}, 0, "own write")
 		return
 	}
-	k.Log.Warn("A step of an order can't be written down.", "pool", word.Pool, "state", state, "error", err)
+	k.Log.Warn("Could not store the rollout state.", "pool", rollout.Pool, "state", state, "error", err)
 	if errors.Is(err, shelfshelf.ErrConflict) || errors.Is(err, shelfshelf.ErrAmbiguous) {
-		k.reload(ctx, word)
+		k.reload(ctx, rollout)
 	}
 }
 
-// reload learns what has been written down of an order.
-func (k *Keeper) reload(ctx context.Context, word shelfshelf.Rollout) {
+// reload reads the stored state of a rollout.
+func (k *Keeper) reload(ctx context.Context, rollout shelfshelf.Rollout) {
 	kept, err := k.Store.LoadRollouts(ctx)
 	if err != nil {
-		k.Log.Warn("How far orders have come can't be read.", "error", err)
+		k.Log.Warn("Could not read the stored rollout states.", "error", err)
 		return
 	}
 	for _, found := range kept {
-		if found.Pool != word.Pool {
+		if found.Pool != rollout.Pool {
 			continue
 		}
-		word.Stored = found.Stored
-		if found.Revision == word.Revision {
-			word.State = max(found.State, shelfshelf.RolloutServing)
+		rollout.Stored = found.Stored
+		if found.Revision == rollout.Revision {
+			rollout.State = max(found.State, shelfshelf.RolloutServing)
 		}
-		k.Record.Heard([]shelfshelf.Rollout{word}, 0, "the store")
+		k.Record.Heard([]shelfshelf.Rollout{rollout}, 0, "the store")
 	}
 }
--- a/rollout/outcome_test.go
+++ b/rollout/outcome_test.go
@@ -16,61 +16,62 @@
 	simFirst = flag.Uint64("first", 1, "seed of the first one")
 )
 
-// outcome sums up roll-outs of one kind.
+// outcome sums up the results of similar rollouts.
 type outcome struct {
-	runs, wrong, unfound, missed, completed, undecided, over, late, duties int
-	exposure                                                               float64
-	notes                                                                  []string
+	runs, goodRolledBack, badNotFound, badMissed, completed, undecided, overExposed, usedTooLong, onTime int
+	exposure                                                                                             float64
+	notes                                                                                                []string
 }
 
-func (o *outcome) add(w *world, seed uint64) {
+func (o *outcome) add(w *simulation, seed uint64) {
 	o.runs++
-	note := func(what string) {
+	fail := func(what string) {
 		o.notes = append(o.notes, fmt.Sprintf("seed %d: %s: %v, %d of %d exposed, %s", seed, what, w.state, w.exposed, w.all, w.why))
 	}
-	telling := tellingAnswers
+	needed := conclusiveAnswers
 	if w.slower > 0 {
-		telling = slowAnswers
+		needed = conclusiveSlowAnswers
 	}
 	rolledBack := w.state == shelfshelf.RolloutRolledBack
 	if !w.bad && rolledBack {
-		o.wrong++
-		note("a good version was rolled back")
+		o.goodRolledBack++
+		fail("a good version was rolled back")
 	}
 	if w.bad && !rolledBack {
-		o.unfound++
+		o.badNotFound++
 		if w.state == shelfshelf.RolloutCompleted {
 			o.completed++
 		}
-		if w.shown >= telling {
-			o.missed++
-			note("a bad version was not found")
+		if w.badTrialAnswers >= needed {
+			o.badMissed++
+			fail("a bad version was not found")
 		}
 	}
 	if !w.state.Over() {
 		o.undecided++
 	}
 	if w.bad && float64(w.exposed) > share*float64(w.all)+slack {
-		o.over++
-		note("over its exposure")
+		o.overExposed++
+		fail("over its exposure")
 	}
-	if w.bad && !w.fiftieth.IsZero() && w.last.Sub(w.fiftieth) > rollback {
-		o.late++
-		note("used for too long")
+	if w.bad && !w.fiftiethBadAt.IsZero() && w.lastNewRequest.Sub(w.fiftiethBadAt) > rollback {
+		o.usedTooLong++
+		fail("used for too long")
 	}
 	want := w.state == shelfshelf.RolloutCompleted
 	if w.bad {
 		want = rolledBack
 	}
 	if want && w.ended.Sub(w.began) <= w.period {
-		o.duties++
+		o.onTime++
 	}
 	o.exposure = max(o.exposure, (float64(w.exposed)-slack)/float64(w.all))
 }
 
-// The table of wrong verdicts, exposure and duties, over all kinds, sizes and periods: no bad
-// version beyond its exposure or used for too long, no good one rolled back, and bad ones
-// found whose faults trials can show. With more seeds: -rollouts 1000.
+// Simulates rollouts of all kinds, deployment sizes and periods, and prints a table of wrong verdicts
+// and exposure. No bad version may exceed its exposure or be used for too long, no good version may be
+// rolled back, and bad ones have to be found if the trials can show their fault. For more seeds use
+// -rollouts 1000.
 func TestSimulatedRollouts(t *testing.T) {
 	t.Parallel()
 	periods := []time.Duration{12 * time.Second, 20 * time.Second, 40 * time.Second}
@@ -87,7 +88,7 @@
 					t.Parallel()
 					sum := &outcome{}
 					for seed := *simFirst; seed < *simFirst+uint64(*simSeeds); seed++ {
-						w := newWorld(deployment, f, period, seed)
+						w := newSimulation(deployment, f, period, seed)
 						w.play()
 						sum.add(w, seed)
 					}
@@ -95,7 +96,7 @@
 					mu.Lock()
 					defer mu.Unlock()
 					lines = append(lines, fmt.Sprintf("| %d | %v | %s | %d | %d | %d | %d | %d | %d | %d | %d | %d | %.3f |", deployment.instances, period, f.name,
-						sum.runs, sum.wrong, sum.unfound, sum.missed, sum.completed, sum.undecided, sum.over, sum.late, sum.duties, sum.exposure))
+						sum.runs, sum.goodRolledBack, sum.badNotFound, sum.badMissed, sum.completed, sum.undecided, sum.overExposed, sum.usedTooLong, sum.onTime, sum.exposure))
 				})
 			}
 		}
@@ -103,23 +104,23 @@
 }
 
 func (o *outcome) check(t *testing.T) {
-	bad := o.over + o.late
-	if o.wrong > o.runs/1000 {
-		bad += o.wrong
+	bad := o.overExposed + o.usedTooLong
+	if o.goodRolledBack > o.runs/1000 {
+		bad += o.goodRolledBack
 	}
-	if o.missed > o.runs/100 {
-		bad += o.missed
+	if o.badMissed > o.runs/100 {
+		bad += o.badMissed
 	}
 	if bad > 0 {
 		t.Errorf("%.2000s", strings.Join(o.notes, "\n  "))
 	}
 }
 
-// Found while they were written; see KNOWN-RED.txt. With 18 targets and 1,400 requests in the
-// period there are 70 trials: a version three times slower is given up after its fiftieth bad
-// answer and the time to roll back, one that fails 0.3 may be undecided 8 s after its
-// deadline, and of two pools with 15% of targets failing by themselves the new one may have
-// five times the other's failures.
+// Difficult seeds of small pools, found during development; see KNOWN-RED.txt. With 18 targets and
+// 1,400 requests in the period there are 70 trials. A version that is three times slower is given up
+// only after its fiftieth bad answer and the time allowed for the rollback, one that fails 0.3 of its
+// requests may be undecided 8 s after the deadline, and if 15% of the targets of both versions fail on
+// their own, the new version may have five times the failures of the old one.
 func TestSimulatedRolloutsOfSmallPools(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -128,7 +129,7 @@
 	}{{7, []uint64{5, 7, 10}}, {2, []uint64{3}}, {5, []uint64{7}}} {
 		sum := &outcome{}
 		for _, seed := range c.seeds {
-			w := newWorld(sizes[0], faults[c.fault], 12*time.Second, seed)
+			w := newSimulation(sizes[0], faults[c.fault], 12*time.Second, seed)
 			w.play()
 			sum.add(w, seed)
 		}
@@ -136,8 +137,8 @@
 	}
 }
 
-// Roll-outs of small pools that once went wrong: good versions were rolled back for some slow or
-// failing targets, and bad ones were used for too long, undecided or completed.
+// Rollouts of small pools that once had a wrong result: good versions were rolled back because of a few
+// slow or failing targets, and bad ones were used for too long, left undecided or completed.
 func TestSimulatedRolloutsThatWentWrong(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -160,7 +161,7 @@
 	}
 }
 
-// Roll-outs of small pools that still go wrong; see KNOWN-RED.txt.
+// Rollouts of small pools that still have a wrong result; see KNOWN-RED.txt.
 func TestSimulatedRolloutsThatStillGoWrong(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -179,12 +180,12 @@
 	}
 }
 
-// playSmall plays roll-outs of a small pool, checks them together and returns how they ended.
+// playSmall simulates rollouts of a small pool, checks them together and returns their results.
 func playSmall(t *testing.T, name string, period time.Duration, seeds []uint64) *outcome {
 	t.Helper()
 	sum := &outcome{}
 	for _, seed := range seeds {
-		w := newWorld(sizes[0], faultNamed(name), period, seed)
+		w := newSimulation(sizes[0], faultNamed(name), period, seed)
 		w.play()
 		sum.add(w, seed)
 	}
@@ -192,8 +193,8 @@
 	return sum
 }
 
-// A version that turns bad when it is about to take over is never completed: the old targets stop
-// then, and all callers would meet it.
+// A version that turns bad shortly before it takes over must not be completed: the old targets would
+// stop, and all callers would be affected.
 func TestLateFaultsAreNeverCompleted(t *testing.T) {
 	t.Parallel()
 	var seeds []uint64
@@ -208,7 +209,7 @@
 	}
 }
 
-// faultNamed returns a fault of the table.
+// faultNamed returns the fault of that name.
 func faultNamed(name string) fault {
 	for _, f := range faults {
 		if f.name == name {
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -11,93 +11,92 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-// Bounds are the operator's bounds on what a version that turns out bad may get.
+// Bounds are the operator's limits on the requests that a bad version may get.
 type Bounds struct {
-	// Share is the part of all requests of the pool between order and deadline, and Slack
-	// the requests beyond it.
+	// Share is the fraction of the pool's requests between the order and the deadline, and Slack is a
+	// number of requests allowed in addition.
 	Share float64
 	Slack float64
 }
 
 const (
-	// trialPart is the part of the share that trials take; the rest is for the move, which
-	// has to begin before the deadline for the order to be over by then.
-	trialPart = 0.4
-	// exposurePart and slackPart are the parts of share and slack that are planned with: the
-	// rest is for what is under way while a word of the move or the halt spreads.
-	exposurePart = 0.9
-	slackPart    = 0.6
-	// slackTrials is the part of the slack that goes to trials: with few instances and
-	// requests it shows a third more.
-	slackTrials = 0.3
-	// earlyPart is the part of an order's period in which trials come earlyPace times as often as
-	// on the mean: a fault that is there from the beginning shows while there is time to decide,
-	// and later ones, and those that come late, are shown by the rest.
-	earlyPart = 0.25
-	earlyPace = exposurePart / trialPart
-	latePace  = (1 - earlyPart*earlyPace) / (1 - earlyPart)
-	// trialLoad times the load of an old target is what a tried one gets, as in a burst of callers:
-	// a fault that shows only under load shows while few requests meet it.
-	trialLoad = 1.5
-	// cycle is how often trials go to other targets of the new version: one that is slow by
-	// its machine, or crashes, is not taken for the version.
-	cycle = time.Second
-	// firstCycle is the same until all have been tried once: few answers of each of many targets
-	// tell more of the version than many answers of a few.
-	firstCycle = 300 * time.Millisecond
-	// eagerness times the part of the requests in a burst that trials need is what tries:
-	// an instance that has no trial left in its share lets the burst pass.
-	eagerness = 2
-	// longestMove bounds how long before the deadline the move begins: streams last up to
-	// 15 s, and a version may turn bad late.
-	longestMove = 20 * time.Second
-	// rampPart is the part of the move's time over which its share grows to the whole, so
-	// that a fault that only shows under load is seen before all have it; the move takes as
-	// many requests as rampCost of its time at the full rate.
-	rampPart = 0.25
-	rampCost = 1 - rampPart/2
+	// trialFraction is the fraction of the share that is spent on trials. The rest is left for the
+	// move, which has to start before the deadline for the rollout to end by then.
+	trialFraction = 0.4
+	// exposureFraction and slackFraction are the fractions of share and slack that plans may use. The
+	// rest covers requests that are sent while news of the move or the halt spreads.
+	exposureFraction = 0.9
+	slackFraction    = 0.6
+	// trialSlackFraction is the fraction of the slack that is spent on trials. With few instances and
+	// requests it yields a third more answers.
+	trialSlackFraction = 0.3
+	// earlyFraction is the fraction of the period in which trials come at earlyPace times the mean
+	// rate: a fault that is there from the start shows while there is time to decide. The remaining
+	// trials show faults that take longer to show or that begin late.
+	earlyFraction = 0.25
+	earlyPace     = exposureFraction / trialFraction
+	latePace      = (1 - earlyFraction*earlyPace) / (1 - earlyFraction)
+	// trialLoadFactor is the load of a tried target, as a multiple of an old target's load, as in a
+	// burst of callers: a fault that only shows under load then shows while few requests meet it.
+	trialLoadFactor = 1.5
+	// rotationInterval is how often trials switch to other targets of the new version, so that a slow
+	// or crashing machine isn't mistaken for a bad version.
+	rotationInterval = time.Second
+	// firstRotationInterval is the same until all targets have been tried once: a few answers from each
+	// of many targets tell more about the version than many answers from a few.
+	firstRotationInterval = 300 * time.Millisecond
+	// burstOvercommit multiplies the probability with which a request becomes a trial during a burst:
+	// instances that have used up their share of trials skip the burst.
+	burstOvercommit = 2
+	// maxMoveTime limits how long before the deadline the move starts: streams last up to 15 s, and a
+	// version may turn bad late.
+	maxMoveTime = 20 * time.Second
+	// rampFraction is the fraction of the move over which the new version's share grows to 1, so that a
+	// fault that only shows under load is seen before all requests meet it. The move sends as many
+	// requests to the new version as rampCost of its duration would at the full rate.
+	rampFraction = 0.25
+	rampCost     = 1 - rampFraction/2
 )
 
-// trialShare is the part of an instance's requests that try the new version, on the mean over an
-// order's period.
-func (b Bounds) trialShare() float64 { return trialPart * b.Share }
+// trialShare is the mean fraction of an instance's requests that try the new version over the period.
+func (b Bounds) trialShare() float64 { return trialFraction * b.Share }
 
-// paced is how much of the trials of a whole period comes by an age, as a time at the mean pace.
-// It never grows faster than what a bad version may get, so that no later fall of the load makes
-// the trials too many. Its example: of a period of 12 s, the first 3 s count for 6.75 s.
-func paced(rollout shelfshelf.Rollout, age time.Duration) time.Duration {
-	early := min(age, time.Duration(earlyPart*float64(rollout.Period)))
+// pacedTime converts an age into the time after which the same number of trials would have come at the
+// mean rate. It never grows faster than the exposure allowed to a bad version, so that a later drop in
+// load can't make the trials exceed it. Example: in a period of 12 s the first 3 s count as 6.75 s.
+func pacedTime(rollout shelfshelf.Rollout, age time.Duration) time.Duration {
+	early := min(age, time.Duration(earlyFraction*float64(rollout.Period)))
 	late := min(age, rollout.Period) - early
 	past := age - early - late
 	return time.Duration(earlyPace*float64(early)+latePace*float64(late)) + past
 }
 
-// shareSince is the part of the requests since an age that are to have tried the new version.
+// shareSince returns the fraction of the requests since an age that should have tried the new version.
 func (b Bounds) shareSince(rollout shelfshelf.Rollout, age time.Duration) float64 {
 	if rollout.Age <= age {
-		return b.planned(rollout)
+		return b.plannedShare(rollout)
 	}
-	return b.trialShare() * float64(paced(rollout, rollout.Age)-paced(rollout, age)) / float64(rollout.Age-age)
+	return b.trialShare() * float64(pacedTime(rollout, rollout.Age)-pacedTime(rollout, age)) / float64(rollout.Age-age)
 }
 
-// shareNow is the part of the requests that try the new version at an order's age.
+// shareNow returns the fraction of the requests that try the new version at present.
 func (b Bounds) shareNow(rollout shelfshelf.Rollout) float64 {
-	return b.planned(rollout) + b.extraShare(rollout)
+	return b.plannedShare(rollout) + b.extraShare(rollout)
 }
 
-// extraShare is the part of the requests that try the new version beyond what was planned while it
-// is in doubt: it can't take over meanwhile, so that trials have the move's part of the share.
+// extraShare returns the fraction of the requests that try the new version beyond the plan while it is
+// in doubt. The move can't start during that time, so trials may use its part of the share.
 func (b Bounds) extraShare(rollout shelfshelf.Rollout) float64 {
 	if rollout.Age >= rollout.Doubted {
 		return 0
 	}
-	return earlyPace*b.trialShare() - b.planned(rollout)
+	return earlyPace*b.trialShare() - b.plannedShare(rollout)
 }
 
-// planned is the part of the requests that is to try the new version at an order's age.
-func (b Bounds) planned(rollout shelfshelf.Rollout) float64 {
+// plannedShare returns the fraction of the requests that is planned to try the new version at present.
+func (b Bounds) plannedShare(rollout shelfshelf.Rollout) float64 {
 	switch {
-	case float64(rollout.Age) < earlyPart*float64(rollout.Period):
+	case float64(rollout.Age) < earlyFraction*float64(rollout.Period):
 		return earlyPace * b.trialShare()
 	case rollout.Age < rollout.Period:
 		return latePace * b.trialShare()
@@ -105,99 +104,101 @@
 	return b.trialShare()
 }
 
-// trials says which targets trials go to at an order's age, and with which probability a
-// request that may try the new version does: they come in bursts, to as few targets as give
-// each of them more than the load of an old one, or a fault that shows only under load would
-// never be seen. Its example: 4 old targets and a share of 0.04 make one burst of 0.11 s to one
-// target every second, in which it gets 0.36 of the requests.
-func (b Bounds) trials(rollout shelfshelf.Rollout, old int, fresh []shelfshelf.Target) (canaries map[shelfshelf.TargetName]bool, probability float64) {
+// trialTargets returns the targets that trials go to at present, and the probability with which a
+// request that may try the new version does. Trials come in bursts, to so few targets that each gets
+// more than the load of an old one; otherwise a fault that only shows under load would not be seen.
+// Example: with 4 old targets and a share of 0.04 there is one burst of 0.11 s to one target every
+// second, in which the target gets 0.36 of the requests.
+func (b Bounds) trialTargets(rollout shelfshelf.Rollout, old int, newTargets []shelfshelf.Target) (canaries map[shelfshelf.TargetName]bool, probability float64) {
 	share := b.shareNow(rollout)
-	if len(fresh) == 0 || share <= 0 {
+	if len(newTargets) == 0 || share <= 0 {
 		return nil, 0
 	}
-	usual := trialLoad * (1 - share) / float64(max(old, 1))
-	count := min(max(int(math.Round(share/usual)), 1), len(fresh))
-	duty := min(share/float64(count)/usual, 1)
-	turn, on := turnAt(rollout.Age, (len(fresh)+count-1)/count)
+	targetLoad := trialLoadFactor * (1 - share) / float64(max(old, 1))
+	count := min(max(int(math.Round(share/targetLoad)), 1), len(newTargets))
+	duty := min(share/float64(count)/targetLoad, 1)
+	turn, on := rotationAt(rollout.Age, (len(newTargets)+count-1)/count)
 	if !on(duty) {
 		return nil, 0
 	}
-	ordered := slices.Clone(fresh)
-	slices.SortFunc(ordered, func(x, y shelfshelf.Target) int { return cmp.Compare(rank(x, rollout), rank(y, rollout)) })
+	ordered := slices.Clone(newTargets)
+	slices.SortFunc(ordered, func(x, y shelfshelf.Target) int { return cmp.Compare(targetRank(x, rollout), targetRank(y, rollout)) })
 	canaries = make(map[shelfshelf.TargetName]bool, count)
 	for i := range count {
 		canaries[ordered[(turn*count+i)%len(ordered)].Name] = true
 	}
-	return canaries, min(eagerness*share/duty, 1)
+	return canaries, min(burstOvercommit*share/duty, 1)
 }
 
-// turnAt returns which turn it is at an order's age, if one round over all targets has so many, and
-// whether the part of it that has trials is on.
-func turnAt(age time.Duration, round int) (turn int, on func(duty float64) bool) {
-	length, first := firstCycle, 0
-	if late := age - time.Duration(round)*firstCycle; late >= 0 {
-		age, length, first = late, cycle, round
+// rotationAt returns the number of the current rotation, where a round over all targets takes the given
+// number of rotations, and a function that reports whether the burst of that rotation is running.
+func rotationAt(age time.Duration, round int) (turn int, on func(duty float64) bool) {
+	length, first := firstRotationInterval, 0
+	if late := age - time.Duration(round)*firstRotationInterval; late >= 0 {
+		age, length, first = late, rotationInterval, round
 	}
 	return first + int(age/length), func(duty float64) bool {
 		return float64(age%length) < duty*float64(length)
 	}
 }
 
-// rank orders the new targets alike at all instances.
-func rank(target shelfshelf.Target, rollout shelfshelf.Rollout) uint64 {
+// targetRank orders the new targets in the same way on all instances.
+func targetRank(target shelfshelf.Target, rollout shelfshelf.Rollout) uint64 {
 	return xxhash.Sum64String(string(target.Name) + "/" + string(rollout.Version))
 }
 
-// split is what one instance has sent to a pool since it knows of an order.
-type split struct {
-	// offset is drawn evenly from 0 to 1 when the instance learns of the order. With it the
-	// rounding is right on the mean: of 85 instances that each send a few requests, each
-	// sending its first one would be 85 trials too many, each waiting for a whole one 42 too
-	// few. It stays so over restarts, which begin anew.
+// trialQuota counts the requests and trials of one instance since it learnt of a rollout.
+type trialQuota struct {
+	// offset is drawn uniformly from 0 to 1 when the instance learns of the rollout, which makes the
+	// rounding right on average. If each of 85 instances with a few requests sent its first one, that
+	// would be 85 trials too many; if each waited for a whole one, it would be 42 too few. Restarted
+	// instances draw again, so this holds for them too.
 	offset float64
-	// since is the order's age at which the instance learnt of it.
+	// since is the rollout's age at which the instance learnt of it.
 	since time.Duration
-	// extra is how many trials more doubts have allowed.
+	// extra is how many additional trials were allowed while the version was in doubt.
 	extra  float64
-	all    int
+	sent   int
 	trials int
 }
 
-// mayTry reports that one more request may try the new version.
-func (s *split) mayTry(share, more float64) bool {
-	return math.Floor(share*float64(s.all)+s.offset+more) > float64(s.trials)
+// allowsTrial reports whether one more request may try the new version.
+func (s *trialQuota) allowsTrial(share, extraTrials float64) bool {
+	return math.Floor(share*float64(s.sent)+s.offset+extraTrials) > float64(s.trials)
 }
 
-// moveShare is the part of the requests that goes to the new version, so long after the move
-// began.
+// moveShare returns the fraction of the requests that goes to the new version during a move of the
+// given length.
 func moveShare(rollout shelfshelf.Rollout, length time.Duration) float64 {
 	if length <= 0 || rollout.Moving > length {
 		return 1
 	}
-	return min(float64(rollout.Moving)/(rampPart*float64(length)), 1)
+	return min(float64(rollout.Moving)/(rampFraction*float64(length)), 1)
 }
 
-// moveTime returns how long before its deadline an order's move is to begin: so late that all
-// that the new version gets by the deadline stays within the bounds, whenever it turns bad.
-// Counted is how long the requests have been counted: less than the order's age where all
-// instances have begun anew, when the rate by its age was half of the true one and the move
-// began so early that 300 of 2,340 requests went to the new version, 284 allowed.
+// moveTime returns how long before the deadline the move should start. All that the new version gets by
+// the deadline has to stay within the bounds, whenever it turns bad. counted is the time over which the
+// requests were counted. It is shorter than the rollout's age if all instances have restarted; dividing
+// by the age then gave half of the true rate, and the move started so early that 300 of 2,340 requests
+// went to the new version while 284 were allowed.
 func (b Bounds) moveTime(rollout shelfshelf.Rollout, sent Sent, counted time.Duration) time.Duration {
 	if counted <= 0 || sent.All == 0 {
 		return 0
 	}
 	rate := float64(sent.All) / float64(counted)
 	expected := float64(sent.All) + rate*float64(max(rollout.Period-rollout.Age, 0))
-	room := exposurePart*b.Share*expected + slackPart*b.Slack - float64(sent.New)
-	return min(time.Duration(max(room, 0)/rate/rampCost), longestMove)
+	budget := exposureFraction*b.Share*expected + slackFraction*b.Slack - float64(sent.New)
+	return min(time.Duration(max(budget, 0)/rate/rampCost), maxMoveTime)
 }
 
-// usualMove is what an instance that doesn't know all counts takes for the length of a move.
-func (b Bounds) usualMove(rollout shelfshelf.Rollout) time.Duration {
-	return min(time.Duration((exposurePart-trialPart)*b.Share*float64(rollout.Period)), longestMove)
+// estimatedMoveTime is the length of the move as assumed by an instance that doesn't know the counts of
+// all others.
+func (b Bounds) estimatedMoveTime(rollout shelfshelf.Rollout) time.Duration {
+	return min(time.Duration((exposureFraction-trialFraction)*b.Share*float64(rollout.Period)), maxMoveTime)
 }
 
-// Sent is how many requests were sent to a pool since an order, and to its new version.
+// Sent counts the requests sent to a pool since a rollout was ordered, and those of them sent to the
+// new version.
 type Sent struct {
 	All uint64
 	New uint64
--- a/rollout/record.go
+++ b/rollout/record.go
@@ -13,52 +13,52 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-// Record is what one instance knows of orders, what it has sent and what it has counted.
+// Record holds what one instance knows of rollouts, and counts the requests it sends and their results.
 // Fields are set before use. It is safe for concurrent use.
 type Record struct {
 	Clock  shelfshelf.Clock
 	Log    *log.Logger
 	Bounds Bounds
-	// Random draws evenly from 0 to 1; nil means the usual source.
+	// Random returns uniform numbers in [0, 1); nil means the default source.
 	Random func() float64
-	// Running returns how many requests this instance has at targets of a pool that run
-	// other versions, and how many at those that run this one; nil means that it never has
-	// any.
+	// Running returns how many requests this instance has running at targets of the pool with other
+	// versions, and with this one; nil means none.
 	Running func(pool shelfshelf.PoolName, version shelfshelf.TargetVersion) (others, at int)
-	// Instances returns how many instances there are, this one included; nil means unknown.
+	// Instances returns the number of instances, this one included; nil means unknown.
 	Instances func() int
-	// Changed is called, outside locks, after an order has changed; may be nil.
+	// Changed is called without locks held after a rollout has changed; may be nil.
 	Changed func()
 
-	mu     sync.Mutex
-	orders map[shelfshelf.PoolName]*order
-	// asOf is the version of the store of which all orders are known.
+	mu       sync.Mutex
+	rollouts map[shelfshelf.PoolName]*trackedRollout
+	// asOf is the version of the store up to which all rollouts are known.
 	asOf uint64
-	// versions are those of each pool's targets, and the version of the list of targets from
-	// which each is known: a new one gets nothing before it is known whether it was ordered.
-	versions map[shelfshelf.PoolName]map[shelfshelf.TargetVersion]sighting
-	// counts are how many targets of each version are listed.
-	counts  map[shelfshelf.PoolName]map[shelfshelf.TargetVersion]int
-	changes chan struct{}
+	// firstSeen holds for each version of a pool's targets when it was first listed: a new version gets
+	// no requests before it is known whether a rollout to it was ordered.
+	firstSeen map[shelfshelf.PoolName]map[shelfshelf.TargetVersion]sighting
+	// targetCounts are the numbers of listed targets by version.
+	targetCounts map[shelfshelf.PoolName]map[shelfshelf.TargetVersion]int
+	changes      chan struct{}
 }
 
-// order is what is known of one pool's order.
-type order struct {
-	// word is the order as of at, and earlier are those that it replaced, the last one first.
-	word    shelfshelf.Rollout
-	at      time.Time
-	earlier []shelfshelf.Rollout
-	// unsaved says that it has to be written down again.
+// trackedRollout is the state of one pool's rollout.
+type trackedRollout struct {
+	// rollout is the state as of updatedAt; replaced are the earlier rollouts that it replaced, latest
+	// first.
+	rollout   shelfshelf.Rollout
+	updatedAt time.Time
+	replaced  []shelfshelf.Rollout
+	// unsaved reports that the state has to be stored again.
 	unsaved bool
-	split
+	trialQuota
 	evidence Evidence
-	// ended says that the order was completed before this instance's eyes, and retired are
-	// the targets that it left behind.
-	ended   bool
-	retired map[shelfshelf.TargetName]bool
+	// completedHere reports that the rollout was completed while this instance was running; retired are
+	// the old targets that it left behind.
+	completedHere bool
+	retired       map[shelfshelf.TargetName]bool
 }
 
-// random draws evenly from 0 to 1.
+// random returns a uniform number in [0, 1).
 func (r *Record) random() float64 {
 	if r.Random == nil {
 		return rand.Float64()
@@ -66,44 +66,44 @@
 	return r.Random()
 }
 
-// as returns the order with its ages as of now.
-func (o *order) as(now time.Time) shelfshelf.Rollout {
-	word := o.word
-	word.Age += now.Sub(o.at)
-	if word.State == shelfshelf.RolloutMoving {
-		word.Moving += now.Sub(o.at)
+// current returns the rollout with its durations as of now.
+func (o *trackedRollout) current(now time.Time) shelfshelf.Rollout {
+	rollout := o.rollout
+	rollout.Age += now.Sub(o.updatedAt)
+	if rollout.State == shelfshelf.RolloutMoving {
+		rollout.Moving += now.Sub(o.updatedAt)
 	}
-	return word
+	return rollout
 }
 
-// Changes tells of changed orders.
+// Changes returns a channel that signals changed rollouts.
 func (r *Record) Changes() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.changing()
+	return r.changeSignal()
 }
 
-func (r *Record) changing() chan struct{} {
+func (r *Record) changeSignal() chan struct{} {
 	if r.changes == nil {
 		r.changes = make(chan struct{}, 1)
 	}
 	return r.changes
 }
 
-// Heard takes orders from the store, or what another instance knows of them, all that had
-// been given when the store stood at a version.
-func (r *Record) Heard(told []shelfshelf.Rollout, asOf uint64, from string) {
+// Heard merges rollouts read from the store or received from another instance. They include every
+// rollout that had been ordered by version asOf of the store.
+func (r *Record) Heard(received []shelfshelf.Rollout, asOf uint64, from string) {
 	r.mu.Lock()
 	r.asOf = max(r.asOf, asOf)
 	changed := false
-	for _, word := range told {
-		if r.take(word, from) {
+	for _, rollout := range received {
+		if r.apply(rollout, from) {
 			changed = true
 		}
 	}
 	if changed {
 		select {
-		case r.changing() <- struct{}{}:
+		case r.changeSignal() <- struct{}{}:
 		default:
 		}
 	}
@@ -113,115 +113,115 @@
 	}
 }
 
-// take takes one word if it says more than what is known; the lock is held.
-func (r *Record) take(word shelfshelf.Rollout, from string) bool {
-	if r.orders == nil {
-		r.orders = make(map[shelfshelf.PoolName]*order)
+// apply merges an update if it adds to what is known, and reports whether anything changed; the lock is
+// held.
+func (r *Record) apply(rollout shelfshelf.Rollout, from string) bool {
+	if r.rollouts == nil {
+		r.rollouts = make(map[shelfshelf.PoolName]*trackedRollout)
 	}
 	now := r.Clock.Now()
-	known := r.orders[word.Pool]
+	known := r.rollouts[rollout.Pool]
 	if known != nil {
-		news, stale := known.returned(word)
-		if stale || !word.Adds(known.word) {
-			return news
+		changed, stale := known.adoptRestored(rollout)
+		if stale || !rollout.Adds(known.rollout) {
+			return changed
 		}
 	}
-	if known == nil || known.word.Revision != word.Revision {
+	if known == nil || known.rollout.Revision != rollout.Revision {
 		if known != nil {
-			word.Barred = barred(known.word, word)
+			rollout.Barred = barredVersions(known.rollout, rollout)
 		}
-		known = &order{
-			earlier:  replacing(known),
-			split:    split{offset: r.random(), since: word.Age},
-			evidence: Evidence{Pool: word.Pool, Revision: word.Revision, Cells: make(map[CellName]*Cell)},
+		known = &trackedRollout{
+			replaced:   replacedRollouts(known),
+			trialQuota: trialQuota{offset: r.random(), since: rollout.Age},
+			evidence:   Evidence{Pool: rollout.Pool, Revision: rollout.Revision, Cells: make(map[CellName]*Cell)},
 		}
-		r.orders[word.Pool] = known
+		r.rollouts[rollout.Pool] = known
 	} else {
-		known.ended = known.ended || !known.word.State.Over() && word.State == shelfshelf.RolloutCompleted
-		word = merged(known.as(now), word)
+		known.completedHere = known.completedHere || !known.rollout.State.Over() && rollout.State == shelfshelf.RolloutCompleted
+		rollout = mergeRollouts(known.current(now), rollout)
 	}
-	known.word, known.at = word, now
-	r.Log.Info("An order to move a pool has changed.", "pool", word.Pool, "version", word.Version, "revision", word.Revision,
-		"state", word.State, "halted", word.Halted, "doubted", word.Doubted, "period", word.Period, "age", word.Age, "moving", word.Moving, "from", from)
+	known.rollout, known.updatedAt = rollout, now
+	r.Log.Info("Rollout changed.", "pool", rollout.Pool, "version", rollout.Version, "revision", rollout.Revision,
+		"state", rollout.State, "halted", rollout.Halted, "doubted", rollout.Doubted, "period", rollout.Period, "age", rollout.Age, "moving", rollout.Moving, "from", from)
 	return true
 }
 
-// barred returns which versions are barred by an order that replaces another.
-func barred(before, word shelfshelf.Rollout) []shelfshelf.TargetVersion {
-	all := append(slices.Clone(before.Barred), word.Barred...)
+// barredVersions returns the versions that are barred once a rollout replaces another.
+func barredVersions(before, rollout shelfshelf.Rollout) []shelfshelf.TargetVersion {
+	all := append(slices.Clone(before.Barred), rollout.Barred...)
 	if before.State != shelfshelf.RolloutCompleted {
 		all = append(all, before.Version)
 	}
 	slices.Sort(all)
 	all = slices.Compact(all)
-	return slices.DeleteFunc(all, func(version shelfshelf.TargetVersion) bool { return version == word.Version })
+	return slices.DeleteFunc(all, func(version shelfshelf.TargetVersion) bool { return version == rollout.Version })
 }
 
-// merged returns what is known with another word on the same order, which may know less of
-// some of it.
-func merged(known, word shelfshelf.Rollout) shelfshelf.Rollout {
-	word.Halted = word.Halted || known.Halted
-	word.Stored = max(word.Stored, known.Stored)
-	word.Age = max(word.Age, known.Age)
-	word.Doubted = max(word.Doubted, known.Doubted)
-	if len(word.Barred) == 0 {
-		word.Barred = known.Barred
+// mergeRollouts combines two states of the same rollout, each of which may lack details of the other.
+func mergeRollouts(known, rollout shelfshelf.Rollout) shelfshelf.Rollout {
+	rollout.Halted = rollout.Halted || known.Halted
+	rollout.Stored = max(rollout.Stored, known.Stored)
+	rollout.Age = max(rollout.Age, known.Age)
+	rollout.Doubted = max(rollout.Doubted, known.Doubted)
+	if len(rollout.Barred) == 0 {
+		rollout.Barred = known.Barred
 	}
-	if known.State > word.State {
-		word.State = known.State
+	if known.State > rollout.State {
+		rollout.State = known.State
 	}
-	if known.State == shelfshelf.RolloutMoving && word.State == shelfshelf.RolloutMoving {
-		word.Moving = max(word.Moving, known.Moving)
+	if known.State == shelfshelf.RolloutMoving && rollout.State == shelfshelf.RolloutMoving {
+		rollout.Moving = max(rollout.Moving, known.Moving)
 	}
-	return word
+	return rollout
 }
 
-// Told returns what this instance tells the others.
-func (r *Record) Told() (orders []shelfshelf.Rollout, asOf uint64) {
+// Told returns the rollouts that this instance passes on to others.
+func (r *Record) Told() (rollouts []shelfshelf.Rollout, asOf uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.Clock.Now()
-	for _, o := range r.orders {
-		orders = append(orders, o.as(now))
+	for _, o := range r.rollouts {
+		rollouts = append(rollouts, o.current(now))
 	}
-	return orders, r.asOf
+	return rollouts, r.asOf
 }
 
-// Under returns the orders that are under way.
+// Under returns the active rollouts.
 func (r *Record) Under() []shelfshelf.Rollout {
-	orders, _ := r.Told()
-	var under []shelfshelf.Rollout
-	for _, o := range orders {
+	rollouts, _ := r.Told()
+	var active []shelfshelf.Rollout
+	for _, o := range rollouts {
 		if !o.State.Over() {
-			under = append(under, o)
+			active = append(active, o)
 		}
 	}
-	return under
+	return active
 }
 
-// Counted returns what this instance has counted of a pool's order, with what it has sent.
+// Counted returns the evidence of this instance on each active rollout.
 func (r *Record) Counted() []Evidence {
 	var running map[shelfshelf.PoolName][2]int
 	if r.Running != nil {
 		running = make(map[shelfshelf.PoolName][2]int)
-		for _, word := range r.Under() {
-			others, at := r.Running(word.Pool, word.Version)
-			running[word.Pool] = [2]int{others, at}
+		for _, rollout := range r.Under() {
+			others, at := r.Running(rollout.Pool, rollout.Version)
+			running[rollout.Pool] = [2]int{others, at}
 		}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.Clock.Now()
 	var all []Evidence
-	for _, o := range r.orders {
-		if o.word.State.Over() {
+	for _, o := range r.rollouts {
+		if o.rollout.State.Over() {
 			continue
 		}
 		counted := o.evidence
-		word := o.as(now)
-		counted.OldRunning, counted.NewRunning = running[word.Pool][0], running[word.Pool][1]
-		counted.Moved = word.State == shelfshelf.RolloutMoving && moveShare(word, r.Bounds.usualMove(word)) >= 1
-		counted.Sent = Sent{All: uint64(max(o.all, 0)), New: uint64(max(o.trials, 0))}
+		rollout := o.current(now)
+		counted.OldRunning, counted.NewRunning = running[rollout.Pool][0], running[rollout.Pool][1]
+		counted.Moved = rollout.State == shelfshelf.RolloutMoving && moveShare(rollout, r.Bounds.estimatedMoveTime(rollout)) >= 1
+		counted.Sent = Sent{All: uint64(max(o.sent, 0)), New: uint64(max(o.trials, 0))}
 		counted.Cells = make(map[CellName]*Cell, len(o.evidence.Cells))
 		for name, cell := range o.evidence.Cells {
 			kept := *cell
@@ -232,72 +232,72 @@
 	return all
 }
 
-// Began notes that a request was given a place at a target.
-func (r *Record) Began(target shelfshelf.Target) { r.count(target, 1) }
+// Began notes that a request was assigned to a target.
+func (r *Record) Began(target shelfshelf.Target) { r.countSent(target, 1) }
 
-// Unsent notes that one did not reach it after all.
-func (r *Record) Unsent(target shelfshelf.Target) { r.count(target, -1) }
+// Unsent notes that an assigned request didn't reach its target after all.
+func (r *Record) Unsent(target shelfshelf.Target) { r.countSent(target, -1) }
 
-func (r *Record) count(target shelfshelf.Target, by int) {
+func (r *Record) countSent(target shelfshelf.Target, by int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	o := r.orders[target.Pool]
-	if o == nil || o.word.State.Over() {
+	o := r.rollouts[target.Pool]
+	if o == nil || o.rollout.State.Over() {
 		return
 	}
-	o.all += by
-	o.extra += float64(by) * r.Bounds.extraShare(o.as(r.Clock.Now()))
-	if target.Version == o.word.Version {
+	o.sent += by
+	o.extra += float64(by) * r.Bounds.extraShare(o.current(r.Clock.Now()))
+	if target.Version == o.rollout.Version {
 		o.trials += by
 	}
 }
 
-// Ended takes what a request has shown of its target.
+// Ended counts the result of a request.
 func (r *Record) Ended(target shelfshelf.Target, report shelfshelf.AttemptReport) {
 	if report.Route == "" {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	o := r.orders[target.Pool]
-	if o == nil || o.word.State.Over() {
+	o := r.rollouts[target.Pool]
+	if o == nil || o.rollout.State.Over() {
 		return
 	}
 	name := CellName{Route: report.Route}
-	if target.Version == o.word.Version {
+	if target.Version == o.rollout.Version {
 		name.Target = target.Name
-		if o.word.State == shelfshelf.RolloutMoving {
-			// All targets of the version are in use by now: a cell for each on each route
-			// would make a report of 20 KB, asked for eight times a second.
-			name.Target = groupOf(target.Name)
+		if o.rollout.State == shelfshelf.RolloutMoving {
+			// All targets of the version are in use by now. With one cell per target and route a report
+			// would have 20 KB, and it is fetched eight times a second.
+			name.Target = targetGroup(target.Name)
 		}
 	}
-	o.evidence.note(name, report)
+	o.evidence.observe(name, report)
 }
 
-// groups is how many groups the targets fall into while all are in use.
-const groups = 12
+// targetGroupCount is the number of groups that targets are counted in while all are in use.
+const targetGroupCount = 12
 
-// groupOf returns the group of a target.
-func groupOf(name shelfshelf.TargetName) shelfshelf.TargetName {
-	return shelfshelf.TargetName(fmt.Sprintf("(group %d)", xxhash.Sum64String(string(name))%groups))
+// targetGroup returns the group of a target.
+func targetGroup(name shelfshelf.TargetName) shelfshelf.TargetName {
+	return shelfshelf.TargetName(fmt.Sprintf("(group %d)", xxhash.Sum64String(string(name))%targetGroupCount))
 }
 
-// Retire notes the targets that completed orders have left behind, which stop at once.
+// Retire notes the old targets of completed rollouts, which stop at once.
 func (r *Record) Retire(targets []shelfshelf.Target) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for pool, o := range r.orders {
-		if o.ended && o.retired == nil {
+	for pool, o := range r.rollouts {
+		if o.completedHere && o.retired == nil {
 			o.retire(pool, targets)
 		}
 	}
 }
 
-func (o *order) retire(pool shelfshelf.PoolName, targets []shelfshelf.Target) {
+func (o *trackedRollout) retire(pool shelfshelf.PoolName, targets []shelfshelf.Target) {
 	retired := make(map[shelfshelf.TargetName]bool)
 	for _, target := range targets {
-		if target.Pool == pool && target.Version != o.word.Version {
+		if target.Pool == pool && target.Version != o.rollout.Version {
 			retired[target.Name] = true
 		}
 	}
--- a/rollout/record_test.go
+++ b/rollout/record_test.go
@@ -13,17 +13,17 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-// stillClock is a clock that the test moves.
-type stillClock struct{ now time.Time }
+// manualClock is a clock that the test advances.
+type manualClock struct{ now time.Time }
 
-func (c *stillClock) Now() time.Time                       { return c.now }
-func (c *stillClock) After(time.Duration) <-chan time.Time { return nil }
+func (c *manualClock) Now() time.Time                       { return c.now }
+func (c *manualClock) After(time.Duration) <-chan time.Time { return nil }
 
-func newTestRecord(clock *stillClock) *Record {
+func newTestRecord(clock *manualClock) *Record {
 	return &Record{Clock: clock, Log: log.New(io.Discard), Bounds: Bounds{Share: share, Slack: slack}}
 }
 
-func versions(counts map[shelfshelf.TargetVersion]int) []shelfshelf.Target {
+func targetsWithVersions(counts map[shelfshelf.TargetVersion]int) []shelfshelf.Target {
 	var targets []shelfshelf.Target
 	for version, count := range counts {
 		for i := range count {
@@ -33,16 +33,16 @@
 	return targets
 }
 
-// Orders, steps and halts come in any order, late, twice or not at all, and instances end and
-// begin anew: whoever has heard that an order is over or halted sends its version nothing
-// again, all that have heard the same agree, and what is known never goes back.
-func TestWordsOfOrdersComeInAnyOrder(t *testing.T) {
+// Updates, state changes and halts arrive in any order, late, repeatedly or not at all, and instances
+// restart. An instance that knows that a rollout is over or halted sends no more requests to its
+// version, instances that have received the same updates agree, and known state is never lost.
+func TestRolloutUpdatesInAnyOrder(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		clock := &stillClock{now: time.Unix(1000, 0)}
+		clock := &manualClock{now: time.Unix(1000, 0)}
 		const instances = 3
 		var records [instances]*Record
-		targets := versions(map[shelfshelf.TargetVersion]int{"v1": 4, "v2": 4, "v3": 4})
+		targets := targetsWithVersions(map[shelfshelf.TargetVersion]int{"v1": 4, "v2": 4, "v3": 4})
 		begin := func(i int) {
 			records[i] = newTestRecord(clock)
 			records[i].Targets(targets, 1)
@@ -50,50 +50,50 @@
 		for i := range records {
 			begin(i)
 		}
-		// said are all words that were ever said; the platform's own are the first ones.
-		var said [][]shelfshelf.Rollout
+		// updates are all updates sent so far, starting with those of the platform.
+		var updates [][]shelfshelf.Rollout
 		ended := make(map[uint64]shelfshelf.RolloutState)
 		newest := uint64(0)
 		t.Repeat(map[string]func(*rapid.T){
 			"order": func(t *rapid.T) {
 				newest++
 				version := rapid.SampledFrom([]shelfshelf.TargetVersion{"v2", "v3"}).Draw(t, "version")
-				said = append(said, []shelfshelf.Rollout{{Pool: "p", Revision: newest, Version: version, Period: 12 * time.Second}})
+				updates = append(updates, []shelfshelf.Rollout{{Pool: "p", Revision: newest, Version: version, Period: 12 * time.Second}})
 			},
 			"step": func(t *rapid.T) {
 				i := rapid.IntRange(0, instances-1).Draw(t, "instance")
-				told, _ := records[i].Told()
-				if len(told) == 0 {
-					t.Skip("nothing is known")
+				known, _ := records[i].Told()
+				if len(known) == 0 {
+					t.Skip("no rollout known")
 				}
-				word := told[0]
+				rollout := known[0]
 				switch rapid.SampledFrom([]string{"halt", "move", "end"}).Draw(t, "step") {
 				case "halt":
-					word.Halted = true
+					rollout.Halted = true
 				case "move":
-					if word.State < shelfshelf.RolloutMoving {
-						word.State = shelfshelf.RolloutMoving
+					if rollout.State < shelfshelf.RolloutMoving {
+						rollout.State = shelfshelf.RolloutMoving
 					}
 				case "end":
-					// The platform takes one end of an order.
-					if ended[word.Revision] == 0 {
-						ended[word.Revision] = shelfshelf.RolloutCompleted
-						if word.Halted {
-							ended[word.Revision] = shelfshelf.RolloutRolledBack
+					// The platform accepts only one final state of a rollout.
+					if ended[rollout.Revision] == 0 {
+						ended[rollout.Revision] = shelfshelf.RolloutCompleted
+						if rollout.Halted {
+							ended[rollout.Revision] = shelfshelf.RolloutRolledBack
 						}
 					}
-					word.State = ended[word.Revision]
+					rollout.State = ended[rollout.Revision]
 				}
-				records[i].Heard([]shelfshelf.Rollout{word}, 0, "test")
-				said = append(said, []shelfshelf.Rollout{word})
+				records[i].Heard([]shelfshelf.Rollout{rollout}, 0, "test")
+				updates = append(updates, []shelfshelf.Rollout{rollout})
 			},
 			"hear": func(t *rapid.T) {
-				if len(said) == 0 {
-					t.Skip("nothing was said")
+				if len(updates) == 0 {
+					t.Skip("no updates yet")
 				}
 				i := rapid.IntRange(0, instances-1).Draw(t, "instance")
 				before, _ := records[i].Told()
-				records[i].Heard(said[rapid.IntRange(0, len(said)-1).Draw(t, "word")], 0, "test")
+				records[i].Heard(updates[rapid.IntRange(0, len(updates)-1).Draw(t, "word")], 0, "test")
 				after, _ := records[i].Told()
 				if len(before) > 0 && before[0].Adds(after[0]) {
 					t.Fatalf("%+v became %+v", before[0], after[0])
@@ -101,64 +101,64 @@
 			},
 			"tell": func(t *rapid.T) {
 				i := rapid.IntRange(0, instances-1).Draw(t, "instance")
-				told, _ := records[i].Told()
-				said = append(said, told)
+				known, _ := records[i].Told()
+				updates = append(updates, known)
 			},
 			"restart": func(t *rapid.T) {
 				i := rapid.IntRange(0, instances-1).Draw(t, "instance")
-				told, asOf := records[(i+1)%instances].Told()
+				known, asOf := records[(i+1)%instances].Told()
 				begin(i)
-				records[i].Heard(told, asOf, "test")
+				records[i].Heard(known, asOf, "test")
 			},
 			"wait": func(*rapid.T) { clock.now = clock.now.Add(700 * time.Millisecond) },
 			"": func(t *rapid.T) {
 				for _, record := range records {
-					told, _ := record.Told()
-					if len(told) == 0 {
+					known, _ := record.Told()
+					if len(known) == 0 {
 						continue
 					}
-					barred := told[0].Halted || told[0].State == shelfshelf.RolloutRolledBack
+					barred := known[0].Halted || known[0].State == shelfshelf.RolloutRolledBack
 					choice := record.Choose("p", targets)
 					for _, target := range targets {
-						if barred && told[0].State != shelfshelf.RolloutCompleted && target.Version == told[0].Version && choice.Allows(target) {
-							t.Fatalf("%+v lets %s go to %s", told[0], target.Name, target.Version)
+						if barred && known[0].State != shelfshelf.RolloutCompleted && target.Version == known[0].Version && choice.Allows(target) {
+							t.Fatalf("%+v lets %s go to %s", known[0], target.Name, target.Version)
 						}
-						if target.Version != told[0].Version && choice.Allows(target) {
-							for _, version := range told[0].Barred {
+						if target.Version != known[0].Version && choice.Allows(target) {
+							for _, version := range known[0].Barred {
 								if version == target.Version {
-									t.Fatalf("%+v lets a request go to a barred version", told[0])
+									t.Fatalf("%+v lets a request go to a barred version", known[0])
 								}
 							}
 						}
 					}
 				}
-				// Who has heard everything knows the same.
+				// Instances that have received all updates agree.
 				one, other := newTestRecord(clock), newTestRecord(clock)
-				for i := range said {
-					one.Heard(said[i], 0, "test")
-					other.Heard(said[len(said)-1-i], 0, "test")
+				for i := range updates {
+					one.Heard(updates[i], 0, "test")
+					other.Heard(updates[len(updates)-1-i], 0, "test")
 				}
 				first, _ := one.Told()
 				second, _ := other.Told()
 				if len(first) > 0 && (first[0].Revision != second[0].Revision || first[0].State != second[0].State || first[0].Halted != second[0].Halted) {
-					t.Fatalf("by the order of words: %+v and %+v", first[0], second[0])
+					t.Fatalf("updates in different order gave %+v and %+v", first[0], second[0])
 				}
 			},
 		})
 	})
 }
 
-// An order that is unlike the usual one: which targets get requests.
-func TestUnusualOrders(t *testing.T) {
+// Special cases of rollouts: which targets get requests.
+func TestUnusualRollouts(t *testing.T) {
 	t.Parallel()
 	order := shelfshelf.Rollout{Pool: "p", Revision: 10, Version: "v2", Period: 12 * time.Second}
 	for name, c := range map[string]struct {
 		before, after map[shelfshelf.TargetVersion]int
 		asOf          uint64
-		words         []shelfshelf.Rollout
+		updates       []shelfshelf.Rollout
 		// allowed are the versions that requests may go to.
 		allowed []shelfshelf.TargetVersion
-		// later is how long after the targets were listed that is.
+		// later is the time from the listing of the targets to the check.
 		later time.Duration
 	}{
 		"a new version of which it isn't known yet whether it was ordered gets nothing": {
@@ -167,7 +167,7 @@
 		},
 		"but not for longer than orders may be unreadable": {
 			before: map[shelfshelf.TargetVersion]int{"v1": 4}, after: map[shelfshelf.TargetVersion]int{"v1": 4, "v2": 4}, asOf: 5,
-			later: longestHold, allowed: []shelfshelf.TargetVersion{"v1", "v2"},
+			later: maxUnconfirmedHold, allowed: []shelfshelf.TargetVersion{"v1", "v2"},
 		},
 		"one that wasn't ordered is served as any other": {
 			before: map[shelfshelf.TargetVersion]int{"v1": 4}, after: map[shelfshelf.TargetVersion]int{"v1": 4, "v2": 4}, asOf: 20,
@@ -175,25 +175,25 @@
 		},
 		"an order of the version that serves already takes nothing away": {
 			before: map[shelfshelf.TargetVersion]int{"v2": 4}, after: map[shelfshelf.TargetVersion]int{"v2": 4}, asOf: 20,
-			words: []shelfshelf.Rollout{order}, allowed: []shelfshelf.TargetVersion{"v2"},
+			updates: []shelfshelf.Rollout{order}, allowed: []shelfshelf.TargetVersion{"v2"},
 		},
 		"an order without targets of its version changes nothing": {
 			before: map[shelfshelf.TargetVersion]int{"v1": 4}, after: map[shelfshelf.TargetVersion]int{"v1": 4}, asOf: 20,
-			words: []shelfshelf.Rollout{order}, allowed: []shelfshelf.TargetVersion{"v1"},
+			updates: []shelfshelf.Rollout{order}, allowed: []shelfshelf.TargetVersion{"v1"},
 		},
 		"a second order bars the version of the first": {
 			before: map[shelfshelf.TargetVersion]int{"v1": 4}, after: map[shelfshelf.TargetVersion]int{"v1": 4, "v2": 4}, asOf: 20,
-			words:   []shelfshelf.Rollout{order, {Pool: "p", Revision: 12, Version: "v3", Period: time.Second}},
+			updates: []shelfshelf.Rollout{order, {Pool: "p", Revision: 12, Version: "v3", Period: time.Second}},
 			allowed: []shelfshelf.TargetVersion{"v1"},
 		},
 		"a version that was rolled back gets nothing, also after a restart": {
 			before: map[shelfshelf.TargetVersion]int{"v1": 4, "v2": 4}, after: map[shelfshelf.TargetVersion]int{"v1": 4, "v2": 4}, asOf: 20,
-			words:   []shelfshelf.Rollout{{Pool: "p", Revision: 10, Version: "v2", State: shelfshelf.RolloutRolledBack}},
+			updates: []shelfshelf.Rollout{{Pool: "p", Revision: 10, Version: "v2", State: shelfshelf.RolloutRolledBack}},
 			allowed: []shelfshelf.TargetVersion{"v1"},
 		},
 		"back to the version that serves, while the one that was rolled back is still there": {
 			before: map[shelfshelf.TargetVersion]int{"v1": 4}, after: map[shelfshelf.TargetVersion]int{"v1": 4, "v2": 4}, asOf: 20,
-			words: []shelfshelf.Rollout{
+			updates: []shelfshelf.Rollout{
 				{Pool: "p", Revision: 10, Version: "v2", State: shelfshelf.RolloutRolledBack},
 				{Pool: "p", Revision: 12, Version: "v1", Period: time.Second},
 			},
@@ -201,17 +201,17 @@
 		},
 		"a third version, after a completed order, of which it isn't known yet whether it was ordered": {
 			before: map[shelfshelf.TargetVersion]int{"v1": 4, "v2": 4}, after: map[shelfshelf.TargetVersion]int{"v2": 4, "v3": 4}, asOf: 5,
-			words:   []shelfshelf.Rollout{{Pool: "p", Revision: 3, Version: "v2", State: shelfshelf.RolloutCompleted}},
+			updates: []shelfshelf.Rollout{{Pool: "p", Revision: 3, Version: "v2", State: shelfshelf.RolloutCompleted}},
 			allowed: []shelfshelf.TargetVersion{"v2"},
 		},
 		"a halted one gets nothing before that is written down": {
 			before: map[shelfshelf.TargetVersion]int{"v1": 4}, after: map[shelfshelf.TargetVersion]int{"v1": 4, "v2": 4}, asOf: 20,
-			words:   []shelfshelf.Rollout{{Pool: "p", Revision: 10, Version: "v2", State: shelfshelf.RolloutMoving, Moving: time.Minute, Halted: true}},
+			updates: []shelfshelf.Rollout{{Pool: "p", Revision: 10, Version: "v2", State: shelfshelf.RolloutMoving, Moving: time.Minute, Halted: true}},
 			allowed: []shelfshelf.TargetVersion{"v1"},
 		},
 		"so does one that was halted by who hadn't heard that it took over": {
 			before: map[shelfshelf.TargetVersion]int{"v1": 4}, after: map[shelfshelf.TargetVersion]int{"v1": 4, "v2": 4}, asOf: 20,
-			words: []shelfshelf.Rollout{
+			updates: []shelfshelf.Rollout{
 				{Pool: "p", Revision: 10, Version: "v2", State: shelfshelf.RolloutMoving, Moving: time.Minute},
 				{Pool: "p", Revision: 10, Version: "v2", State: shelfshelf.RolloutServing, Halted: true},
 			},
@@ -219,22 +219,22 @@
 		},
 		"after the move all go to the new one": {
 			before: map[shelfshelf.TargetVersion]int{"v1": 4}, after: map[shelfshelf.TargetVersion]int{"v1": 4, "v2": 4}, asOf: 20,
-			words:   []shelfshelf.Rollout{{Pool: "p", Revision: 10, Version: "v2", Period: time.Second, State: shelfshelf.RolloutMoving, Moving: time.Minute}},
+			updates: []shelfshelf.Rollout{{Pool: "p", Revision: 10, Version: "v2", Period: time.Second, State: shelfshelf.RolloutMoving, Moving: time.Minute}},
 			allowed: []shelfshelf.TargetVersion{"v2"},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			clock := &stillClock{now: time.Unix(1000, 0)}
+			clock := &manualClock{now: time.Unix(1000, 0)}
 			record := newTestRecord(clock)
-			record.Targets(versions(c.before), 1)
-			record.Targets(versions(c.after), 8)
+			record.Targets(targetsWithVersions(c.before), 1)
+			record.Targets(targetsWithVersions(c.after), 8)
 			record.Heard(nil, c.asOf, "test")
-			for _, word := range c.words {
-				record.Heard([]shelfshelf.Rollout{word}, 0, "test")
+			for _, rollout := range c.updates {
+				record.Heard([]shelfshelf.Rollout{rollout}, 0, "test")
 			}
 			clock.now = clock.now.Add(c.later)
-			targets := versions(c.after)
+			targets := targetsWithVersions(c.after)
 			choice := record.Choose("p", targets)
 			allowed := make(map[shelfshelf.TargetVersion]bool)
 			for _, target := range targets {
@@ -244,31 +244,31 @@
 			}
 			for _, version := range c.allowed {
 				if !allowed[version] {
-					t.Errorf("%s gets nothing", version)
+					t.Errorf("%s gets no requests", version)
 				}
 			}
 			if len(allowed) != len(c.allowed) {
-				t.Errorf("%v get requests", allowed)
+				t.Errorf("requests go to %v", allowed)
 			}
 		})
 	}
 }
 
-// Of 85 and of 300 instances that send a few requests each, as many try as the share allows,
-// also if they all begin anew in the middle.
+// With 85 or 300 instances that send a few requests each, the total of their trials is what the share
+// allows, even if they all restart halfway.
 func TestSharesOfManyInstancesAddUp(t *testing.T) {
 	t.Parallel()
 	for _, instances := range []int{1, 6, 85, 300} {
 		trials, all := 0, 0
 		for range 40 {
 			for range instances {
-				record := newTestRecord(&stillClock{})
+				record := newTestRecord(&manualClock{})
 				for range 2 {
-					s := split{offset: record.random()}
+					s := trialQuota{offset: record.random()}
 					for range 30 {
-						s.all++
+						s.sent++
 						all++
-						if s.mayTry(0.04, 0) {
+						if s.allowsTrial(0.04, 0) {
 							s.trials++
 							trials++
 						}
@@ -276,7 +276,7 @@
 				}
 			}
 		}
-		// Each beginning is off by less than one, evenly.
+		// Each start is off by less than one trial, uniformly distributed.
 		most := 0.04*float64(all) + 5*0.5*math.Sqrt(float64(80*instances))
 		if float64(trials) > most || float64(trials) < 0.04*float64(all)-5*0.5*math.Sqrt(float64(80*instances)) {
 			t.Errorf("%d instances: %d of %d tried", instances, trials, all)
--- /dev/null
+++ b/rollout/restore.go
@@ -0,0 +1,103 @@
+package rollout
+
+import (
+	"context"
+	"errors"
+	"slices"
+	"time"
+
+	"github.com/shelfshelf/shelfshelf"
+)
+
+// maxReplacedKept is how many replaced rollouts are remembered per pool. A restored copy of the store
+// is a few seconds old, and an operator orders one or two rollouts in that time.
+const maxReplacedKept = 8
+
+// adoptRestored handles a rollout from a later era of the store, which begins when the store is
+// restored from an older copy. If it is the known rollout, ordered again or found in the copy at
+// another position, the known state continues under the new revision, and changed is true. If the known
+// rollout had replaced it and the copy still contains it, stale is true. The lock is held.
+func (o *trackedRollout) adoptRestored(rollout shelfshelf.Rollout) (changed, stale bool) {
+	if shelfshelf.EraOf(rollout.Revision) <= shelfshelf.EraOf(o.rollout.Revision) {
+		return false, false
+	}
+	if slices.ContainsFunc(o.replaced, func(replaced shelfshelf.Rollout) bool { return sameRow(replaced, rollout) }) {
+		return false, true
+	}
+	if o.rollout.Version != rollout.Version || o.rollout.Period != rollout.Period {
+		return false, false
+	}
+	o.rollout.Revision = rollout.Revision
+	o.evidence.Revision = rollout.Revision
+	// The state that was stored for the previous revision is lost.
+	o.rollout.Stored = 0
+	o.unsaved = o.rollout.State != shelfshelf.RolloutOrdered
+	return true, false
+}
+
+// Unsaved returns the rollouts whose state has to be stored again, because the store was restored from
+// a copy without it.
+func (r *Record) Unsaved() []shelfshelf.Rollout {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := r.Clock.Now()
+	var unsaved []shelfshelf.Rollout
+	for _, o := range r.rollouts {
+		if o.unsaved {
+			unsaved = append(unsaved, o.current(now))
+		}
+	}
+	return unsaved
+}
+
+// markSaved notes that the state of a rollout is stored again.
+func (r *Record) markSaved(rollout shelfshelf.Rollout) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if o := r.rollouts[rollout.Pool]; o != nil && o.rollout.Revision == rollout.Revision {
+		o.unsaved = false
+	}
+}
+
+// saveAgainPause is the time between two attempts to store the states again.
+const saveAgainPause = time.Second
+
+// saveAgain stores the rollout states that were lost when the store was restored from an older copy,
+// for the operator and for instances that start later. Only the leading instance writes; the others
+// assume that it does.
+func (k *Keeper) saveAgain(ctx context.Context, leads bool) {
+	for _, rollout := range k.Record.Unsaved() {
+		if !leads {
+			k.Record.markSaved(rollout)
+			continue
+		}
+		saveCtx, cancel := context.WithTimeout(ctx, storeTimeout)
+		stored, err := k.Store.SaveRollout(saveCtx, rollout)
+		cancel()
+		switch {
+		case err == nil:
+			rollout.Stored = stored
+			k.Record.markSaved(rollout)
+			k.Record.Heard([]shelfshelf.Rollout{rollout}, 0, "own write")
+			k.Log.Info("Stored the rollout state again after a store restore.", "pool", rollout.Pool, "version", rollout.Version, "state", rollout.State)
+		case errors.Is(err, shelfshelf.ErrConflict), errors.Is(err, shelfshelf.ErrAmbiguous):
+			k.reload(ctx, rollout)
+		default:
+			k.Log.Warn("Could not store the rollout state again yet.", "pool", rollout.Pool, "error", err)
+		}
+	}
+}
+
+// sameRow reports whether two rollouts come from the same row of the store, whatever its era.
+func sameRow(a, b shelfshelf.Rollout) bool {
+	return shelfshelf.VersionOf(a.Revision) == shelfshelf.VersionOf(b.Revision) && a.Version == b.Version && a.Period == b.Period
+}
+
+// replacedRollouts returns the rollouts that a new one replaces, latest first.
+func replacedRollouts(known *trackedRollout) []shelfshelf.Rollout {
+	if known == nil {
+		return nil
+	}
+	replaced := append([]shelfshelf.Rollout{known.rollout}, known.replaced...)
+	return replaced[:min(len(replaced), maxReplacedKept)]
+}
--- /dev/null
+++ b/rollout/restore_test.go
@@ -0,0 +1,70 @@
+package rollout
+
+import (
+	"testing"
+	"time"
+
+	"github.com/shelfshelf/shelfshelf"
+)
+
+// rolloutAt returns a rollout as stored at an era and a version.
+func rolloutAt(era, version uint64, to shelfshelf.TargetVersion, state shelfshelf.RolloutState) shelfshelf.Rollout {
+	return shelfshelf.Rollout{
+		Pool: "p", Version: to, Period: 20 * time.Second, Revision: shelfshelf.PositionOf(era, version), State: state,
+	}
+}
+
+// knownRollout returns the rollout that the record knows for its pool.
+func knownRollout(r *Record) shelfshelf.Rollout {
+	known, _ := r.Told()
+	return known[0]
+}
+
+// A store that is restored from an older copy may contain a rollout's row under another version, or the
+// row of an earlier rollout. If these were taken for new rollouts, the first would try a rolled-back
+// version again, and the second would undo a completed rollout.
+func TestRolloutsSurviveStoreRestore(t *testing.T) {
+	for name, c := range map[string]struct {
+		known   []shelfshelf.Rollout
+		rollout shelfshelf.Rollout
+		want    shelfshelf.Rollout
+	}{
+		"written again": {
+			[]shelfshelf.Rollout{rolloutAt(1, 50, "v2", shelfshelf.RolloutRolledBack)},
+			rolloutAt(2, 28, "v2", shelfshelf.RolloutOrdered),
+			rolloutAt(2, 28, "v2", shelfshelf.RolloutRolledBack),
+		},
+		"as it was in the copy": {
+			[]shelfshelf.Rollout{rolloutAt(1, 50, "v2", shelfshelf.RolloutCompleted)},
+			rolloutAt(2, 50, "v2", shelfshelf.RolloutServing),
+			rolloutAt(2, 50, "v2", shelfshelf.RolloutCompleted),
+		},
+		"an order before it, in the copy": {
+			[]shelfshelf.Rollout{rolloutAt(1, 30, "v1", shelfshelf.RolloutCompleted), rolloutAt(1, 50, "v2", shelfshelf.RolloutCompleted)},
+			rolloutAt(2, 30, "v1", shelfshelf.RolloutServing),
+			rolloutAt(1, 50, "v2", shelfshelf.RolloutCompleted),
+		},
+		"a new order after it": {
+			[]shelfshelf.Rollout{rolloutAt(1, 50, "v2", shelfshelf.RolloutCompleted)},
+			rolloutAt(2, 28, "v3", shelfshelf.RolloutOrdered),
+			rolloutAt(2, 28, "v3", shelfshelf.RolloutOrdered),
+		},
+		"the same order once more, in the same era": {
+			[]shelfshelf.Rollout{rolloutAt(1, 50, "v2", shelfshelf.RolloutRolledBack)},
+			rolloutAt(1, 60, "v2", shelfshelf.RolloutOrdered),
+			rolloutAt(1, 60, "v2", shelfshelf.RolloutOrdered),
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			r := newTestRecord(&manualClock{now: time.Unix(1000, 0)})
+			for _, known := range c.known {
+				r.Heard([]shelfshelf.Rollout{known}, known.Revision, "the store")
+			}
+			r.Heard([]shelfshelf.Rollout{c.rollout}, c.rollout.Revision, "the store")
+			got := knownRollout(r)
+			if got.Revision != c.want.Revision || got.Version != c.want.Version || got.State != c.want.State {
+				t.Errorf("got %+v, want %+v", got, c.want)
+			}
+		})
+	}
+}
--- a/rollout/sim_test.go
+++ b/rollout/sim_test.go
@@ -14,39 +14,40 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-// The operator's bounds on a bad version, as on the platform.
+// The operator's bounds on a bad version, as configured on the platform.
 const (
 	share    = 0.1
 	slack    = 50
 	rollback = 5 * time.Second
-	// usualTime is the time of an answer at a usual target, in seconds.
+	// usualTime is the time of an answer of an average target, in seconds.
 	usualTime = 0.3
 	routes    = 20
-	// tellingAnswers is how many bad answers of trials show a fault. A target with one counts
-	// for 1.0 to 1.2 (strayPart), and each other answer of a version that fails 0.6 takes some
-	// 0.5 back (sparedPart): 0.67 a bad answer, 20 of them for the limit of 13.2; 32 answers
-	// reach it in 99 of 100 draws (normal, with a spread of the root of 1.5 times 20).
-	tellingAnswers = 32
-	// slowAnswers is the same for answers that are slow: each says a quarter of what a failure
-	// does, ln(1/0.31) against ln(1/0.015) by the bases and the usual shares.
-	slowAnswers = 4 * tellingAnswers
+	// conclusiveAnswers is how many bad answers of trials are enough to detect a fault. A target with
+	// one counts for 1.0 to 1.2 (contaminationFraction), and each other answer of a version that fails
+	// 0.6 of its requests takes about 0.5 back (unaffectedFraction): 0.67 per bad answer, so that 20 of
+	// them reach the limit of 13.2. 32 answers reach it in 99 of 100 cases (normal, with a standard
+	// deviation of the root of 1.5 times 20).
+	conclusiveAnswers = 32
+	// conclusiveSlowAnswers is the same for slow answers. Each has a quarter of the weight of a
+	// failure: ln(1/0.31) against ln(1/0.015) by the null odds ratios and the usual rates.
+	conclusiveSlowAnswers = 4 * conclusiveAnswers
 )
 
-// fault is what is wrong with a version, or with the world around both.
+// fault describes what is wrong with the new version, or with the environment of both.
 type fault struct {
 	name string
-	// bad says that the new version is to be given up.
+	// bad reports that the new version should be rolled back.
 	bad bool
-	// fail is the part of its answers that fail, slower the factor of their times.
+	// fail is the fraction of its answers that fail, and slower the factor of their times.
 	fail, slower float64
-	// from is the part of the period after which it is so, and loaded how many requests its
-	// target has to run for it.
+	// from is the fraction of the period after which the fault begins. loaded is the number of requests
+	// that a target must have running for the fault to occur.
 	from   float64
 	loaded int
-	// oneRoute restricts it to one route.
+	// oneRoute restricts the fault to one route.
 	oneRoute bool
-	// burst, grey and lost strike both versions: more requests, targets that fail, a data
-	// centre that is gone for a while.
+	// burst, grey and lost affect both versions: a burst of requests, targets that fail often, an
+	// unavailable data centre.
 	burst, grey, lost bool
 }
 
@@ -68,7 +69,7 @@
 	{name: "fails 0.6, burst", bad: true, fail: 0.6, burst: true},
 }
 
-// size is one deployment.
+// size is the size of a deployment.
 type size struct {
 	instances, targets int
 	rate               float64
@@ -76,9 +77,9 @@
 
 var sizes = []size{{6, 18, 120}, {85, 60, 426}, {300, 150, 1500}}
 
-// world is one simulated roll-out: real records and a real keeper on a simulated clock,
-// before modelled targets, with words that are late or lost and instances that end.
-type world struct {
+// simulation runs one rollout with real Records and a real Keeper on a simulated clock. Targets are
+// modelled, messages between instances are delayed or lost, and instances restart.
+type simulation struct {
 	size
 	fault
 	period  time.Duration
@@ -87,25 +88,25 @@
 	began   time.Time
 	events  eventQueue
 	records []*Record
-	// cut says that an instance hears nothing for now.
-	cut     []bool
-	lives   []uint64
-	keeper  *Keeper
-	targets []shelfshelf.Target
-	// versions are what each instance has at old and at new targets.
-	versions map[*Record]*[2]int
-	speeds   map[shelfshelf.TargetName]float64
-	running  map[shelfshelf.TargetName]int
-	grey     map[shelfshelf.TargetName]bool
-	state    shelfshelf.RolloutState
+	// partitioned marks the instances that receive nothing at present.
+	partitioned  []bool
+	incarnations []uint64
+	keeper       *Keeper
+	targets      []shelfshelf.Target
+	// runningByVersion counts the requests that each instance has running at old and at new targets.
+	runningByVersion map[*Record]*[2]int
+	timeFactors      map[shelfshelf.TargetName]float64
+	running          map[shelfshelf.TargetName]int
+	grey             map[shelfshelf.TargetName]bool
+	state            shelfshelf.RolloutState
 
 	all, exposed, failed int
-	// shown counts the bad answers of trials before the move.
-	shown    int
-	fiftieth time.Time
-	last     time.Time
-	ended    time.Time
-	why      string
+	// badTrialAnswers counts the bad answers of trials before the move.
+	badTrialAnswers int
+	fiftiethBadAt   time.Time
+	lastNewRequest  time.Time
+	ended           time.Time
+	why             string
 }
 
 type event struct {
@@ -126,15 +127,15 @@
 	return last
 }
 
-func (w *world) Now() time.Time                       { return w.now }
-func (w *world) After(time.Duration) <-chan time.Time { return nil }
+func (w *simulation) Now() time.Time                       { return w.now }
+func (w *simulation) After(time.Duration) <-chan time.Time { return nil }
 
-func (w *world) after(d time.Duration, do func()) {
+func (w *simulation) after(d time.Duration, do func()) {
 	heap.Push(&w.events, event{w.now.Add(d), do})
 }
 
-// SaveRollout writes a step, at times after an outage of the store.
-func (w *world) SaveRollout(_ context.Context, r shelfshelf.Rollout) (uint64, error) {
+// SaveRollout stores a state; it fails at times with ErrUnavailable.
+func (w *simulation) SaveRollout(_ context.Context, r shelfshelf.Rollout) (uint64, error) {
 	if w.random.Float64() < 0.1 {
 		return 0, shelfshelf.ErrUnavailable
 	}
@@ -148,27 +149,27 @@
 	return r.Stored + 1, nil
 }
 
-func (w *world) LoadRollouts(context.Context) ([]shelfshelf.Rollout, error) {
+func (w *simulation) LoadRollouts(context.Context) ([]shelfshelf.Rollout, error) {
 	return []shelfshelf.Rollout{{Pool: "p", Revision: 10, State: w.state}}, nil
 }
 
-func (w *world) newRecord() *Record {
+func (w *simulation) newRecord() *Record {
 	running := &[2]int{}
 	record := &Record{
 		Instances: func() int { return w.instances },
 		Running:   func(shelfshelf.PoolName, shelfshelf.TargetVersion) (int, int) { return running[0], running[1] },
 		Clock:     w, Log: log.New(io.Discard), Bounds: Bounds{Share: share, Slack: slack}, Random: w.random.Float64,
 	}
-	w.versions[record] = running
+	w.runningByVersion[record] = running
 	return record
 }
 
-func newWorld(s size, f fault, period time.Duration, seed uint64) *world {
-	w := &world{
+func newSimulation(s size, f fault, period time.Duration, seed uint64) *simulation {
+	w := &simulation{
 		size: s, fault: f, period: period, random: rand.New(rand.NewPCG(seed, 7)),
-		now: time.Unix(1000, 0), speeds: make(map[shelfshelf.TargetName]float64),
-		versions: make(map[*Record]*[2]int),
-		running:  make(map[shelfshelf.TargetName]int), grey: make(map[shelfshelf.TargetName]bool),
+		now: time.Unix(1000, 0), timeFactors: make(map[shelfshelf.TargetName]float64),
+		runningByVersion: make(map[*Record]*[2]int),
+		running:          make(map[shelfshelf.TargetName]int), grey: make(map[shelfshelf.TargetName]bool),
 	}
 	w.began = w.now
 	for version := range 2 {
@@ -179,37 +180,37 @@
 				DataCentre: shelfshelf.DataCentre(fmt.Sprint(i % 4)),
 			}
 			w.targets = append(w.targets, target)
-			w.speeds[target.Name] = min(max(math.Exp(0.5*w.random.NormFloat64()), 0.55), 2.8)
+			w.timeFactors[target.Name] = min(max(math.Exp(0.5*w.random.NormFloat64()), 0.55), 2.8)
 			w.grey[target.Name] = f.grey && w.random.Float64() < 0.15
 		}
 	}
-	w.cut = make([]bool, s.instances)
-	w.lives = make([]uint64, s.instances)
+	w.partitioned = make([]bool, s.instances)
+	w.incarnations = make([]uint64, s.instances)
 	for range s.instances {
 		w.records = append(w.records, w.newRecord())
 	}
 	for i, record := range w.records {
 		record.Targets(w.targets[:s.targets], 1)
-		w.after(w.lag(), func() { w.learn(i) })
+		w.after(w.messageDelay(), func() { w.learnRollout(i) })
 	}
 	w.keeper = &Keeper{
 		Clock: w, Log: log.New(io.Discard), Record: w.records[0], Store: w, Self: Life{Instance: "0"},
 		Leads: func() bool { return true }, Asks: func() bool { return true },
-		Others: func(bool) []string { return nil }, cases: make(map[shelfshelf.PoolName]*trial),
+		Others: func(bool) []string { return nil }, progress: make(map[shelfshelf.PoolName]*rolloutProgress),
 	}
 	return w
 }
 
-// lag is how late a word comes.
-func (w *world) lag() time.Duration {
+// messageDelay returns the delay of a message.
+func (w *simulation) messageDelay() time.Duration {
 	return time.Duration((0.03 + 0.27*w.random.Float64()) * float64(time.Second))
 }
 
-func (w *world) learn(i int) {
+func (w *simulation) learnRollout(i int) {
 	w.records[i].Targets(w.targets, 12)
-	if told, asOf := w.records[0].Told(); len(told) > 0 {
-		// Who starts later hears what the others know.
-		w.records[i].Heard(told, asOf, "test")
+	if known, asOf := w.records[0].Told(); len(known) > 0 {
+		// An instance that starts later learns what the others know.
+		w.records[i].Heard(known, asOf, "test")
 		return
 	}
 	w.records[i].Heard([]shelfshelf.Rollout{{
@@ -217,42 +218,42 @@
 	}}, 20, "test")
 }
 
-// look asks instances as the keeper does; some answers are lost.
-func (w *world) look() {
-	under := w.records[0].Under()
-	if len(under) > 0 {
+// poll polls the instances as the Keeper does; some responses are lost.
+func (w *simulation) poll() {
+	active := w.records[0].Under()
+	if len(active) > 0 {
 		var reports []Report
-		silent := 0
+		unreachable := 0
 		for i, record := range w.records {
-			if i > 0 && (w.cut[i] || w.random.Float64() < 0.02) {
-				silent++
+			if i > 0 && (w.partitioned[i] || w.random.Float64() < 0.02) {
+				unreachable++
 				continue
 			}
-			reports = append(reports, Report{Life: Life{Instance: shelfshelf.InstanceID(fmt.Sprint(i)), Incarnation: w.lives[i]}, Orders: record.Counted()})
+			reports = append(reports, Report{Life: Life{Instance: shelfshelf.InstanceID(fmt.Sprint(i)), Incarnation: w.incarnations[i]}, Orders: record.Counted()})
 		}
-		w.keeper.step(context.Background(), under, reports, silent, true)
-		if t := w.keeper.cases["p"]; t != nil {
+		w.keeper.evaluateAll(context.Background(), active, reports, unreachable, true)
+		if t := w.keeper.progress["p"]; t != nil {
 			w.why = fmt.Sprintf("%s %.1f of %.1f, %d trials", t.verdict.Why, t.verdict.Against, t.verdict.Limit, t.verdict.Trials)
 		}
 	}
-	w.spread()
-	w.after(askPeriod, w.look)
+	w.broadcast()
+	w.after(pollInterval, w.poll)
 }
 
-// spread tells the others what the keeper's instance knows.
-func (w *world) spread() {
-	told, asOf := w.records[0].Told()
+// broadcast sends the rollouts known to the Keeper's instance to the others.
+func (w *simulation) broadcast() {
+	known, asOf := w.records[0].Told()
 	sent := w.now
 	for i := range w.records {
-		w.after(w.lag(), func() {
-			if !w.cut[i] {
-				late := make([]shelfshelf.Rollout, len(told))
-				for j, word := range told {
-					word.Age += w.now.Sub(sent)
-					if word.State == shelfshelf.RolloutMoving {
-						word.Moving += w.now.Sub(sent)
+		w.after(w.messageDelay(), func() {
+			if !w.partitioned[i] {
+				late := make([]shelfshelf.Rollout, len(known))
+				for j, rollout := range known {
+					rollout.Age += w.now.Sub(sent)
+					if rollout.State == shelfshelf.RolloutMoving {
+						rollout.Moving += w.now.Sub(sent)
 					}
-					late[j] = word
+					late[j] = rollout
 				}
 				w.records[i].Heard(late, asOf, "test")
 			}
@@ -260,23 +261,23 @@
 	}
 }
 
-// disturb ends instances and cuts them off.
-func (w *world) disturb() {
+// injectFault restarts or partitions an instance.
+func (w *simulation) injectFault() {
 	i := 1 + w.random.IntN(len(w.records)-1)
 	if w.random.Float64() < 0.5 {
 		w.records[i] = w.newRecord()
-		w.lives[i]++
+		w.incarnations[i]++
 		w.records[i].Targets(w.targets, 12)
-		w.after(w.lag(), func() { w.learn(i) })
+		w.after(w.messageDelay(), func() { w.learnRollout(i) })
 	} else {
-		w.cut[i] = true
-		w.after(time.Duration(w.random.Float64()*float64(3*time.Second)), func() { w.cut[i] = false })
+		w.partitioned[i] = true
+		w.after(time.Duration(w.random.Float64()*float64(3*time.Second)), func() { w.partitioned[i] = false })
 	}
-	w.after(time.Duration(w.random.ExpFloat64()*float64(time.Second)), w.disturb)
+	w.after(time.Duration(w.random.ExpFloat64()*float64(time.Second)), w.injectFault)
 }
 
-// arrive lets one request come.
-func (w *world) arrive() {
+// arrive simulates the arrival of one request.
+func (w *simulation) arrive() {
 	rate := w.rate
 	age := w.now.Sub(w.began)
 	if w.burst && age > w.period/3 && age < w.period/2 {
@@ -285,8 +286,8 @@
 	w.after(time.Duration(w.random.ExpFloat64()/rate*float64(time.Second)), w.arrive)
 	record := w.records[w.random.IntN(len(w.records))]
 	targets := w.targets
-	if told, _ := record.Told(); len(told) == 0 {
-		// It doesn't know the new targets either.
+	if known, _ := record.Told(); len(known) == 0 {
+		// The instance doesn't know the new targets yet either.
 		targets = targets[:w.size.targets]
 	}
 	choice := record.Choose("p", targets)
@@ -309,22 +310,22 @@
 }
 
 // run runs a request at a target.
-func (w *world) run(record *Record, target shelfshelf.Target) {
+func (w *simulation) run(record *Record, target shelfshelf.Target) {
 	record.Began(target)
 	age := w.now.Sub(w.began)
-	fresh := target.Version == "v2"
+	onNew := target.Version == "v2"
 	if age < w.period {
 		w.all++
-		if fresh {
+		if onNew {
 			w.exposed++
 		}
 	}
-	if fresh {
-		w.last = w.now
+	if onNew {
+		w.lastNewRequest = w.now
 	}
 	w.running[target.Name]++
 	route := w.random.IntN(routes)
-	took := usualTime * w.speeds[target.Name] * math.Exp(0.3*w.random.NormFloat64()) * (1 + float64(w.running[target.Name]-1)/18)
+	took := usualTime * w.timeFactors[target.Name] * math.Exp(0.3*w.random.NormFloat64()) * (1 + float64(w.running[target.Name]-1)/18)
 	failing := 0.004
 	if route == 1 {
 		failing = 0.14
@@ -335,43 +336,43 @@
 	if w.lost && target.DataCentre == "1" && age > w.period/3 && age < w.period/2 {
 		failing = 1
 	}
-	badNow := fresh && float64(age) >= w.from*float64(w.period) && w.running[target.Name] >= w.loaded && (!w.oneRoute || route == 5)
+	badNow := onNew && float64(age) >= w.from*float64(w.period) && w.running[target.Name] >= w.loaded && (!w.oneRoute || route == 5)
 	if badNow {
 		failing = 1 - (1-failing)*(1-w.fail)
 		took *= max(w.slower, 1)
 	}
 	failed := w.random.Float64() < failing
-	if fresh {
-		w.versions[record][1]++
+	if onNew {
+		w.runningByVersion[record][1]++
 	} else {
-		w.versions[record][0]++
+		w.runningByVersion[record][0]++
 	}
 	w.after(time.Duration(took*float64(time.Second)), func() {
 		w.running[target.Name]--
-		if fresh {
-			w.versions[record][1]--
+		if onNew {
+			w.runningByVersion[record][1]--
 		} else {
-			w.versions[record][0]--
+			w.runningByVersion[record][0]--
 		}
 		record.Ended(target, shelfshelf.AttemptReport{
 			Route: shelfshelf.RouteName(fmt.Sprint("r", route)), Failed: failed, First: took / usualTime,
 		})
 		if badNow && (failed || w.slower > 0) {
 			if w.failed++; w.failed == 50 {
-				w.fiftieth = w.now
+				w.fiftiethBadAt = w.now
 			}
-			if under := w.records[0].Under(); len(under) > 0 && under[0].State < shelfshelf.RolloutMoving {
-				w.shown++
+			if active := w.records[0].Under(); len(active) > 0 && active[0].State < shelfshelf.RolloutMoving {
+				w.badTrialAnswers++
 			}
 		}
 	})
 }
 
-// play plays the roll-out until well past its deadline.
-func (w *world) play() {
+// play simulates the rollout until well past its deadline.
+func (w *simulation) play() {
 	w.after(0, w.arrive)
-	w.after(100*time.Millisecond, w.look)
-	w.after(time.Second, w.disturb)
+	w.after(100*time.Millisecond, w.poll)
+	w.after(time.Second, w.injectFault)
 	end := w.began.Add(w.period + 8*time.Second)
 	for w.events.Len() > 0 {
 		next := heap.Pop(&w.events).(event)
--- a/rollout/tally.go
+++ b/rollout/tally.go
@@ -7,91 +7,93 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-// tally is what both versions have had on a route since an order, by mark.
+// tally counts the answers of both versions on a route since the rollout began, by criterion.
 type tally struct {
-	fresh map[shelfshelf.TargetName][]part
-	old   []part
+	newTargets map[shelfshelf.TargetName][]answerCounts
+	old        []answerCounts
 }
 
-// part is how many answers of some are marked, and their times if the mark is by these.
-type part struct {
-	marked, all uint64
-	times       Histogram
+// answerCounts holds the number of bad answers and of all, and their times if the criterion is based on
+// times.
+type answerCounts struct {
+	bad, all uint64
+	times    Histogram
 }
 
-func (p *part) add(marked, all uint64) {
-	p.marked += marked
+func (p *answerCounts) add(bad, all uint64) {
+	p.bad += bad
 	p.all += all
 }
 
-// rate is the marked part of the answers; 0 of none.
-func (p part) rate() float64 {
+// rate returns the fraction of bad answers; 0 if there are no answers.
+func (p answerCounts) rate() float64 {
 	if p.all == 0 {
 		return 0
 	}
-	return float64(p.marked) / float64(p.all)
+	return float64(p.bad) / float64(p.all)
 }
 
 func newTally() *tally {
-	return &tally{fresh: make(map[shelfshelf.TargetName][]part), old: make([]part, len(marks))}
+	return &tally{newTargets: make(map[shelfshelf.TargetName][]answerCounts), old: make([]answerCounts, len(criteria))}
 }
 
-// add adds one round's answers, but for times while the new version takes over, which go with the load.
-func (t *tally) add(s *stretch, usual *Cell) {
-	for i, m := range marks {
-		if s.moving && m.times != nil {
+// add adds the answers of one round. Times are left out during the move, because they change with the
+// load then.
+func (t *tally) add(s *interval, baseline *Cell) {
+	for i, m := range criteria {
+		if s.moving && m.histogram != nil {
 			continue
 		}
-		marked, all, known := m.of(&s.old, usual)
+		bad, all, known := m.count(&s.old, baseline)
 		if !known {
 			continue
 		}
-		t.old[i].add(marked, all)
-		for name, cell := range s.fresh {
-			if t.fresh[name] == nil {
-				t.fresh[name] = make([]part, len(marks))
+		t.old[i].add(bad, all)
+		for name, cell := range s.newTargets {
+			if t.newTargets[name] == nil {
+				t.newTargets[name] = make([]answerCounts, len(criteria))
 			}
-			of := &t.fresh[name][i]
-			marked, all, _ := m.of(cell, usual)
-			of.add(marked, all)
-			if m.times != nil {
-				of.times.add(m.times(cell))
+			of := &t.newTargets[name][i]
+			bad, all, _ := m.count(cell, baseline)
+			of.add(bad, all)
+			if m.histogram != nil {
+				of.times.add(m.histogram(cell))
 			}
 		}
 	}
 }
 
-// tried returns what each tried target has had of a mark.
-func (t *tally) tried(mark int) []part {
-	var tried []part
-	for _, of := range t.fresh {
-		if of[mark].all > 0 {
-			tried = append(tried, of[mark])
+// triedTargets returns the counts of each tried target by a criterion.
+func (t *tally) triedTargets(criterion int) []answerCounts {
+	var tried []answerCounts
+	for _, of := range t.newTargets {
+		if of[criterion].all > 0 {
+			tried = append(tried, of[criterion])
 		}
 	}
 	return tried
 }
 
-// marked returns how many answers of the new version have a mark.
-func (t *tally) marked(mark int) uint64 {
+// badAnswers returns the number of the new version's bad answers by a criterion.
+func (t *tally) badAnswers(criterion int) uint64 {
 	sum := uint64(0)
-	for _, of := range t.fresh {
-		sum += of[mark].marked
+	for _, of := range t.newTargets {
+		sum += of[criterion].bad
 	}
 	return sum
 }
 
-// tooMany reports that the new version has had too many answers with a mark, not only at those
-// of its targets that have most of them: as many as may be bad by themselves are left out.
-func (t *tally) tooMany(mark int) bool {
-	if t.marked(mark) < marks[mark].most {
+// excessive reports that the new version has had too many bad answers by a criterion, and not only on
+// its worst targets: as many targets as may be bad on their own are left out.
+func (t *tally) excessive(criterion int) bool {
+	if t.badAnswers(criterion) < criteria[criterion].maxBad {
 		return false
 	}
-	tried := t.tried(mark)
-	slices.SortFunc(tried, func(a, b part) int { return cmp.Compare(a.rate(), b.rate()) })
-	var kept part
-	for _, p := range tried[:max(int(badPart*float64(len(tried))), 1)] {
-		kept.add(p.marked, p.all)
+	tried := t.triedTargets(criterion)
+	slices.SortFunc(tried, func(a, b answerCounts) int { return cmp.Compare(a.rate(), b.rate()) })
+	var kept answerCounts
+	for _, p := range tried[:max(int(badTargetFraction*float64(len(tried))), 1)] {
+		kept.add(p.bad, p.all)
 	}
-	return kept.rate() >= mostTimes*t.old[mark].rate()
+	return kept.rate() >= excessRateRatio*t.old[criterion].rate()
 }
--- a/rollout/wire.go
+++ b/rollout/wire.go
@@ -6,7 +6,7 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-// Wire is an order as instances tell it to each other, in CBOR.
+// Wire is the CBOR form of a rollout in messages between instances.
 type Wire struct {
 	_        struct{} `cbor:",toarray"`
 	Pool     string
@@ -24,14 +24,14 @@
 	Barred  []string
 }
 
-// wireBytes bounds what an order takes so, without its names, in bytes.
-const wireBytes = 69
+// maxRolloutBytes bounds the encoded size of a rollout without its names, in bytes.
+const maxRolloutBytes = 69
 
-// WireSize bounds the size of orders in a message, in bytes.
+// WireSize returns an upper bound of the encoded size of rollouts in a message, in bytes.
 func WireSize(rollouts []shelfshelf.Rollout) int {
 	size := 0
 	for _, r := range rollouts {
-		size += wireBytes + len(r.Pool) + len(r.Version)
+		size += maxRolloutBytes + len(r.Pool) + len(r.Version)
 		for _, version := range r.Barred {
 			size += len(version) + 2
 		}
@@ -39,20 +39,20 @@
 	return size
 }
 
-// ToWire returns orders in the form of messages.
+// ToWire converts rollouts to their form in messages.
 func ToWire(rollouts []shelfshelf.Rollout) []Wire {
 	wire := make([]Wire, len(rollouts))
 	for i, r := range rollouts {
 		wire[i] = Wire{
 			Pool: string(r.Pool), Revision: r.Revision, Version: string(r.Version), Period: int64(r.Period),
 			Age: int64(r.Age), State: uint8(r.State), Moving: int64(r.Moving), Doubted: int64(r.Doubted), Halted: r.Halted, Stored: r.Stored,
-			Barred: convert[string](r.Barred),
+			Barred: convertNames[string](r.Barred),
 		}
 	}
 	return wire
 }
 
-// FromWire reads orders from the form of messages.
+// FromWire converts rollouts from their form in messages.
 func FromWire(wire []Wire) []shelfshelf.Rollout {
 	if len(wire) == 0 {
 		return nil
@@ -63,14 +63,14 @@
 			Pool: shelfshelf.PoolName(w.Pool), Revision: w.Revision, Version: shelfshelf.TargetVersion(w.Version),
 			Period: time.Duration(w.Period), Age: time.Duration(w.Age), State: shelfshelf.RolloutState(w.State),
 			Moving: time.Duration(w.Moving), Doubted: time.Duration(w.Doubted), Halted: w.Halted, Stored: w.Stored,
-			Barred: convert[shelfshelf.TargetVersion](w.Barred),
+			Barred: convertNames[shelfshelf.TargetVersion](w.Barred),
 		}
 	}
 	return rollouts
 }
 
-// convert turns names of one type into those of another.
-func convert[To, From ~string](names []From) []To {
+// convertNames converts names to another string type.
+func convertNames[To, From ~string](names []From) []To {
 	var converted []To
 	for _, name := range names {
 		converted = append(converted, To(name))
