--- a/rollout/combine.go
+++ b/rollout/combine.go
@@ -10,11 +10,11 @@
 // evidence returns the evidence by one criterion on one route in the last intervals: the logarithm of
 // the mean, over the alternatives, of the targets' combined likelihood ratio, by the way of combining
 // them that gives the most.
-func (j *Judge) evidence(m int, route shelfshelf.RouteName, window int, limit float64) float64 {
-	targets := j.ratiosByTarget(m, route, window)
-	lenient, strict := splitRatios(targets, len(criteria[m].lenient.alternatives))
+func (j *Judge) evidence(criterion int, route shelfshelf.RouteName, window int, limit float64) float64 {
+	targets := j.ratiosByTarget(criterion, route, window)
+	lenient, strict := splitRatios(targets, len(criteria[criterion].lenient.alternatives))
 	capped := j.cappedEvidence(strict, limit, failingTargetFraction)
-	if criteria[m].histogram != nil {
+	if criteria[criterion].histogram != nil {
 		capped = j.cappedEvidence(lenient, limit, badTargetFraction)
 	}
 	against := max(capped, contaminatedEvidence(lenient), j.trimmedEvidence(strict, limit))
@@ -22,18 +22,18 @@
 		against = max(against, uncappedEvidence(lenient))
 	}
 	if window > longestFiniteWindow {
-		against = max(against, tailEvidence(j.slowdownDeviations(m, route)))
+		against = max(against, tailEvidence(j.slowdownDeviations(criterion, route)))
 	}
 	return against
 }
 
 // ratiosByTarget returns the ratios of a criterion by target on a route in the last intervals.
-func (j *Judge) ratiosByTarget(m int, route shelfshelf.RouteName, window int) map[shelfshelf.TargetName][]float64 {
+func (j *Judge) ratiosByTarget(criterion int, route shelfshelf.RouteName, window int) map[shelfshelf.TargetName][]float64 {
 	targets := make(map[shelfshelf.TargetName][]float64)
-	j.sumRatios(m, j.closedIntervals[route], window, targets)
+	j.sumRatios(criterion, j.closedIntervals[route], window, targets)
 	if window > longestFiniteWindow {
 		for name, ratios := range j.foldedRatios[route] {
-			targets[name] = addTransformed(targets[name], ratios[m], func(ratio float64) float64 { return ratio })
+			targets[name] = addTransformed(targets[name], ratios[criterion], func(ratio float64) float64 { return ratio })
 		}
 	}
 	return targets
@@ -59,13 +59,13 @@
 	if kept < minBadTargets {
 		return 0
 	}
-	most := limit / minBadTargets
+	maxRatio := limit / minBadTargets
 	var sums []float64
-	for factor := range alternativeCount(targets) {
+	for alternative := range alternativeCount(targets) {
 		var ratios []float64
 		for _, target := range targets {
-			if factor < len(target) {
-				ratios = append(ratios, min(allowUnaffected(target[factor]), most))
+			if alternative < len(target) {
+				ratios = append(ratios, min(allowUnaffected(target[alternative]), maxRatio))
 			}
 		}
 		slices.Sort(ratios)
@@ -88,12 +88,12 @@
 }
 
 // cappedEvidence combines targets, each of which counts for at most its share of the limit.
-func (j *Judge) cappedEvidence(targets map[shelfshelf.TargetName][]float64, limit, part float64) float64 {
-	needed := max(minBadTargets, int(math.Ceil(part*float64(len(targets)))))
-	most := limit / float64(min(needed, max(j.Targets, 1)))
+func (j *Judge) cappedEvidence(targets map[shelfshelf.TargetName][]float64, limit, fraction float64) float64 {
+	needed := max(minBadTargets, int(math.Ceil(fraction*float64(len(targets)))))
+	maxRatio := limit / float64(min(needed, max(j.Targets, 1)))
 	var sums []float64
 	for _, target := range targets {
-		sums = addTransformed(sums, target, func(ratio float64) float64 { return min(allowUnaffected(ratio), most) })
+		sums = addTransformed(sums, target, func(ratio float64) float64 { return min(allowUnaffected(ratio), maxRatio) })
 	}
 	return logMeanExp(sums)
 }
@@ -155,16 +155,16 @@
 }
 
 // sumRatios sums up the ratios of a criterion by target and alternative over the last intervals.
-func (j *Judge) sumRatios(m int, intervals []*interval, window int, targets map[shelfshelf.TargetName][]float64) {
+func (j *Judge) sumRatios(criterion int, intervals []*interval, window int, targets map[shelfshelf.TargetName][]float64) {
 	for _, s := range slices.Backward(intervals) {
 		if j.round-s.number >= window {
 			return
 		}
 		for name, ratios := range s.ratios {
 			if targets[name] == nil {
-				targets[name] = make([]float64, len(criteria[m].lenient.alternatives)+len(criteria[m].strict.alternatives))
+				targets[name] = make([]float64, len(criteria[criterion].lenient.alternatives)+len(criteria[criterion].strict.alternatives))
 			}
-			for i, ratio := range ratios[m] {
+			for i, ratio := range ratios[criterion] {
 				targets[name][i] += ratio
 			}
 		}
--- a/rollout/fisher.go
+++ b/rollout/fisher.go
@@ -25,17 +25,17 @@
 
 // logLikelihood returns the logarithm of the probability of the new version's number of bad answers.
 func (c contingencyTable) logLikelihood(oddsRatio float64, bad uint64) float64 {
-	least := uint64(0)
+	lowest := uint64(0)
 	if bad > c.oldTotal {
-		least = bad - c.oldTotal
+		lowest = bad - c.oldTotal
 	}
-	most := min(bad, c.newTotal)
+	highest := min(bad, c.newTotal)
 	term := func(x uint64) float64 {
 		return logChoose(c.newTotal, x) + logChoose(c.oldTotal, bad-x) + float64(x)*math.Log(oddsRatio)
 	}
 	peak := math.Inf(-1)
-	terms := make([]float64, 0, most-least+1)
-	for x := least; x <= most; x++ {
+	terms := make([]float64, 0, highest-lowest+1)
+	for x := lowest; x <= highest; x++ {
 		terms = append(terms, term(x))
 		peak = max(peak, terms[len(terms)-1])
 	}
--- a/rollout/interval.go
+++ b/rollout/interval.go
@@ -67,9 +67,9 @@
 	s.ratios = make(map[shelfshelf.TargetName][][]float64, len(s.newTargets))
 	for name, cell := range s.newTargets {
 		ratios := make([][]float64, len(criteria))
-		for i, m := range criteria {
-			if table, known := s.tabulate(m, cell, baseline); known {
-				ratios[i] = s.criterionRatios(m, table)
+		for i, c := range criteria {
+			if table, known := s.tabulate(c, cell, baseline); known {
+				ratios[i] = s.criterionRatios(c, table)
 			}
 		}
 		s.ratios[name] = ratios
@@ -78,8 +78,8 @@
 
 // criterionRatios returns the ratios of a criterion: by alternative against its lenient null
 // hypothesis, then against its strict one.
-func (s *interval) criterionRatios(m criterion, table contingencyTable) []float64 {
-	return append(s.ratiosFor(m.lenient, table), s.ratiosFor(m.strict, table)...)
+func (s *interval) criterionRatios(c criterion, table contingencyTable) []float64 {
+	return append(s.ratiosFor(c.lenient, table), s.ratiosFor(c.strict, table)...)
 }
 
 // ratiosFor returns the ratio of each alternative to the null hypothesis.
@@ -96,18 +96,18 @@
 }
 
 // tabulate counts the answers of one new target and of the old ones.
-func (s *interval) tabulate(m criterion, newCell, baseline *Cell) (contingencyTable, bool) {
+func (s *interval) tabulate(c criterion, newCell, baseline *Cell) (contingencyTable, bool) {
 	beside := &s.old
 	if s.moving && beside.Answers < minOldAnswers {
 		// Nearly all requests go to the new version by now, so the old version's earlier answers are
 		// used.
 		beside = baseline
 	}
-	var c contingencyTable
+	var table contingencyTable
 	var known bool
-	if c.oldBad, c.oldTotal, known = m.count(beside, baseline); !known {
-		return c, false
+	if table.oldBad, table.oldTotal, known = c.count(beside, baseline); !known {
+		return table, false
 	}
-	c.newBad, c.newTotal, _ = m.count(newCell, baseline)
-	return c, true
+	table.newBad, table.newTotal, _ = c.count(newCell, baseline)
+	return table, true
 }
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -185,9 +185,9 @@
 			if j.foldedRatios[route][name] == nil {
 				j.foldedRatios[route][name] = make([][]float64, len(criteria))
 			}
-			for m := range criteria {
-				if len(ratios[m]) > 0 {
-					j.foldedRatios[route][name][m] = addTransformed(j.foldedRatios[route][name][m], ratios[m], func(ratio float64) float64 { return ratio })
+			for c := range criteria {
+				if len(ratios[c]) > 0 {
+					j.foldedRatios[route][name][c] = addTransformed(j.foldedRatios[route][name][c], ratios[c], func(ratio float64) float64 { return ratio })
 				}
 			}
 		}
@@ -203,12 +203,12 @@
 	verdict.Limit = j.limit(allRoutes)
 	verdict.Against = math.Inf(-1)
 	for _, window := range windows {
-		for i, m := range criteria {
+		for i, c := range criteria {
 			for route := range j.closedIntervals {
 				// Subtracts the difference between the limits of this route and of all routes together,
 				// so that the result can be compared with a single limit.
 				limit := j.limit(route)
-				verdict.consider(j.evidence(i, route, window, limit)-limit+verdict.Limit, m.name+" on "+string(route))
+				verdict.consider(j.evidence(i, route, window, limit)-limit+verdict.Limit, c.name+" on "+string(route))
 			}
 		}
 	}
@@ -234,20 +234,20 @@
 // slowdownDeviations returns by how many standard deviations the tried targets are slower on a route
 // than those of a good version may be.
 func (j *Judge) slowdownDeviations(criterion int, route shelfshelf.RouteName) float64 {
-	sums := j.tallies[route]
-	if sums == nil || criteria[criterion].histogram == nil {
+	counts := j.tallies[route]
+	if counts == nil || criteria[criterion].histogram == nil {
 		return 0
 	}
-	return slowdownDeviations(sums.triedTargets(criterion), criteria[criterion].histogram(j.baseline[route]), j.OldTargets)
+	return slowdownDeviations(counts.triedTargets(criterion), criteria[criterion].histogram(j.baseline[route]), j.OldTargets)
 }
 
 // slowdownFactor returns the ratio of the tried targets' time to first answer to that of the old ones.
 func (j *Judge) slowdownFactor() float64 {
-	sums, baseline := j.tallies[allRoutes], j.baseline[allRoutes]
-	if sums == nil || baseline == nil {
+	counts, baseline := j.tallies[allRoutes], j.baseline[allRoutes]
+	if counts == nil || baseline == nil {
 		return 0
 	}
-	slowdown, count := meanSlowdown(sums.triedTargets(firstAnswerIndex), &baseline.First)
+	slowdown, count := meanSlowdown(counts.triedTargets(firstAnswerIndex), &baseline.First)
 	if count == 0 {
 		return 0
 	}
@@ -257,10 +257,10 @@
 // excessiveCriterion returns the criterion by which the new version has had too many bad answers; empty
 // if there is none.
 func (j *Judge) excessiveCriterion() string {
-	for route, sums := range j.tallies {
-		for i, m := range criteria {
-			if sums.excessive(i) && (m.histogram == nil || j.slowdownDeviations(i, route) >= minExcessDeviations) {
-				return "too many: " + m.name + " on " + string(route)
+	for route, counts := range j.tallies {
+		for i, c := range criteria {
+			if counts.excessive(i) && (c.histogram == nil || j.slowdownDeviations(i, route) >= minExcessDeviations) {
+				return "too many: " + c.name + " on " + string(route)
 			}
 		}
 	}
--- a/rollout/outcome_test.go
+++ b/rollout/outcome_test.go
@@ -12,8 +12,8 @@
 )
 
 var (
-	simSeeds = flag.Int("rollouts", 2, "simulated roll-outs of each kind")
-	simFirst = flag.Uint64("first", 1, "seed of the first one")
+	simSeeds = flag.Int("rollouts", 2, "simulated rollouts of each kind")
+	simFirst = flag.Uint64("first", 1, "seed of the first simulation")
 )
 
 // outcome sums up the results of similar rollouts.
@@ -23,49 +23,49 @@
 	notes                                                                                                []string
 }
 
-func (o *outcome) add(w *simulation, seed uint64) {
+func (o *outcome) add(sim *simulation, seed uint64) {
 	o.runs++
-	fail := func(what string) {
-		o.notes = append(o.notes, fmt.Sprintf("seed %d: %s: %v, %d of %d exposed, %s", seed, what, w.state, w.exposed, w.all, w.why))
+	addNote := func(what string) {
+		o.notes = append(o.notes, fmt.Sprintf("seed %d: %s: %v, %d of %d exposed, %s", seed, what, sim.state, sim.exposed, sim.all, sim.why))
 	}
 	needed := conclusiveAnswers
-	if w.slower > 0 {
+	if sim.slower > 0 {
 		needed = conclusiveSlowAnswers
 	}
-	rolledBack := w.state == shelfshelf.RolloutRolledBack
-	if !w.bad && rolledBack {
+	rolledBack := sim.state == shelfshelf.RolloutRolledBack
+	if !sim.bad && rolledBack {
 		o.goodRolledBack++
-		fail("a good version was rolled back")
+		addNote("a good version was rolled back")
 	}
-	if w.bad && !rolledBack {
+	if sim.bad && !rolledBack {
 		o.badNotFound++
-		if w.state == shelfshelf.RolloutCompleted {
+		if sim.state == shelfshelf.RolloutCompleted {
 			o.completed++
 		}
-		if w.badTrialAnswers >= needed {
+		if sim.badTrialAnswers >= needed {
 			o.badMissed++
-			fail("a bad version was not found")
+			addNote("a bad version was not found")
 		}
 	}
-	if !w.state.Over() {
+	if !sim.state.Over() {
 		o.undecided++
 	}
-	if w.bad && float64(w.exposed) > share*float64(w.all)+slack {
+	if sim.bad && float64(sim.exposed) > share*float64(sim.all)+slack {
 		o.overExposed++
-		fail("over its exposure")
+		addNote("over its exposure")
 	}
-	if w.bad && !w.fiftiethBadAt.IsZero() && w.lastNewRequest.Sub(w.fiftiethBadAt) > rollback {
+	if sim.bad && !sim.fiftiethBadAt.IsZero() && sim.lastNewRequest.Sub(sim.fiftiethBadAt) > rollback {
 		o.usedTooLong++
-		fail("used for too long")
+		addNote("used for too long")
 	}
-	want := w.state == shelfshelf.RolloutCompleted
-	if w.bad {
+	want := sim.state == shelfshelf.RolloutCompleted
+	if sim.bad {
 		want = rolledBack
 	}
-	if want && w.ended.Sub(w.began) <= w.period {
+	if want && sim.ended.Sub(sim.began) <= sim.period {
 		o.onTime++
 	}
-	o.exposure = max(o.exposure, (float64(w.exposed)-slack)/float64(w.all))
+	o.exposure = max(o.exposure, (float64(sim.exposed)-slack)/float64(sim.all))
 }
 
 // Simulates rollouts of all kinds, deployment sizes and periods, and prints a table of wrong verdicts
@@ -88,9 +88,9 @@
 					t.Parallel()
 					sum := &outcome{}
 					for seed := *simFirst; seed < *simFirst+uint64(*simSeeds); seed++ {
-						w := newSimulation(deployment, f, period, seed)
-						w.play()
-						sum.add(w, seed)
+						sim := newSimulation(deployment, f, period, seed)
+						sim.play()
+						sum.add(sim, seed)
 					}
 					sum.check(t)
 					mu.Lock()
@@ -129,9 +129,9 @@
 	}{{7, []uint64{5, 7, 10}}, {2, []uint64{3}}, {5, []uint64{7}}} {
 		sum := &outcome{}
 		for _, seed := range c.seeds {
-			w := newSimulation(sizes[0], faults[c.fault], 12*time.Second, seed)
-			w.play()
-			sum.add(w, seed)
+			sim := newSimulation(sizes[0], faults[c.fault], 12*time.Second, seed)
+			sim.play()
+			sum.add(sim, seed)
 		}
 		sum.check(t)
 	}
@@ -185,9 +185,9 @@
 	t.Helper()
 	sum := &outcome{}
 	for _, seed := range seeds {
-		w := newSimulation(sizes[0], faultNamed(name), period, seed)
-		w.play()
-		sum.add(w, seed)
+		sim := newSimulation(sizes[0], faultNamed(name), period, seed)
+		sim.play()
+		sum.add(sim, seed)
 	}
 	sum.check(t)
 	return sum
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -163,8 +163,8 @@
 }
 
 // allowsTrial reports whether one more request may try the new version.
-func (s *trialQuota) allowsTrial(share, extraTrials float64) bool {
-	return math.Floor(share*float64(s.sent)+s.offset+extraTrials) > float64(s.trials)
+func (q *trialQuota) allowsTrial(share, extraTrials float64) bool {
+	return math.Floor(share*float64(q.sent)+q.offset+extraTrials) > float64(q.trials)
 }
 
 // moveShare returns the fraction of the requests that goes to the new version during a move of the
--- a/rollout/sim_test.go
+++ b/rollout/sim_test.go
@@ -127,51 +127,51 @@
 	return last
 }
 
-func (w *simulation) Now() time.Time                       { return w.now }
-func (w *simulation) After(time.Duration) <-chan time.Time { return nil }
+func (sim *simulation) Now() time.Time                       { return sim.now }
+func (sim *simulation) After(time.Duration) <-chan time.Time { return nil }
 
-func (w *simulation) after(d time.Duration, do func()) {
-	heap.Push(&w.events, event{w.now.Add(d), do})
+func (sim *simulation) after(d time.Duration, do func()) {
+	heap.Push(&sim.events, event{sim.now.Add(d), do})
 }
 
 // SaveRollout stores a state; it fails at times with ErrUnavailable.
-func (w *simulation) SaveRollout(_ context.Context, r shelfshelf.Rollout) (uint64, error) {
-	if w.random.Float64() < 0.1 {
+func (sim *simulation) SaveRollout(_ context.Context, r shelfshelf.Rollout) (uint64, error) {
+	if sim.random.Float64() < 0.1 {
 		return 0, shelfshelf.ErrUnavailable
 	}
-	if w.state.Over() {
+	if sim.state.Over() {
 		return 0, shelfshelf.ErrConflict
 	}
-	w.state = r.State
+	sim.state = r.State
 	if r.State.Over() {
-		w.ended = w.now
+		sim.ended = sim.now
 	}
 	return r.Stored + 1, nil
 }
 
-func (w *simulation) LoadRollouts(context.Context) ([]shelfshelf.Rollout, error) {
-	return []shelfshelf.Rollout{{Pool: "p", Revision: 10, State: w.state}}, nil
+func (sim *simulation) LoadRollouts(context.Context) ([]shelfshelf.Rollout, error) {
+	return []shelfshelf.Rollout{{Pool: "p", Revision: 10, State: sim.state}}, nil
 }
 
-func (w *simulation) newRecord() *Record {
+func (sim *simulation) newRecord() *Record {
 	running := &[2]int{}
 	record := &Record{
-		Instances: func() int { return w.instances },
+		Instances: func() int { return sim.instances },
 		Running:   func(shelfshelf.PoolName, shelfshelf.TargetVersion) (int, int) { return running[0], running[1] },
-		Clock:     w, Log: log.New(io.Discard), Bounds: Bounds{Share: share, Slack: slack}, Random: w.random.Float64,
+		Clock:     sim, Log: log.New(io.Discard), Bounds: Bounds{Share: share, Slack: slack}, Random: sim.random.Float64,
 	}
-	w.runningByVersion[record] = running
+	sim.runningByVersion[record] = running
 	return record
 }
 
 func newSimulation(s size, f fault, period time.Duration, seed uint64) *simulation {
-	w := &simulation{
+	sim := &simulation{
 		size: s, fault: f, period: period, random: rand.New(rand.NewPCG(seed, 7)),
 		now: time.Unix(1000, 0), timeFactors: make(map[shelfshelf.TargetName]float64),
 		runningByVersion: make(map[*Record]*[2]int),
 		running:          make(map[shelfshelf.TargetName]int), grey: make(map[shelfshelf.TargetName]bool),
 	}
-	w.began = w.now
+	sim.began = sim.now
 	for version := range 2 {
 		for i := range s.targets {
 			target := shelfshelf.Target{
@@ -179,207 +179,207 @@
 				Version:    shelfshelf.TargetVersion(fmt.Sprint("v", version+1)),
 				DataCentre: shelfshelf.DataCentre(fmt.Sprint(i % 4)),
 			}
-			w.targets = append(w.targets, target)
-			w.timeFactors[target.Name] = min(max(math.Exp(0.5*w.random.NormFloat64()), 0.55), 2.8)
-			w.grey[target.Name] = f.grey && w.random.Float64() < 0.15
+			sim.targets = append(sim.targets, target)
+			sim.timeFactors[target.Name] = min(max(math.Exp(0.5*sim.random.NormFloat64()), 0.55), 2.8)
+			sim.grey[target.Name] = f.grey && sim.random.Float64() < 0.15
 		}
 	}
-	w.partitioned = make([]bool, s.instances)
-	w.incarnations = make([]uint64, s.instances)
+	sim.partitioned = make([]bool, s.instances)
+	sim.incarnations = make([]uint64, s.instances)
 	for range s.instances {
-		w.records = append(w.records, w.newRecord())
+		sim.records = append(sim.records, sim.newRecord())
 	}
-	for i, record := range w.records {
-		record.Targets(w.targets[:s.targets], 1)
-		w.after(w.messageDelay(), func() { w.learnRollout(i) })
+	for i, record := range sim.records {
+		record.Targets(sim.targets[:s.targets], 1)
+		sim.after(sim.messageDelay(), func() { sim.learnRollout(i) })
 	}
-	w.keeper = &Keeper{
-		Clock: w, Log: log.New(io.Discard), Record: w.records[0], Store: w, Self: Life{Instance: "0"},
+	sim.keeper = &Keeper{
+		Clock: sim, Log: log.New(io.Discard), Record: sim.records[0], Store: sim, Self: Life{Instance: "0"},
 		Leads: func() bool { return true }, Asks: func() bool { return true },
 		Others: func(bool) []string { return nil }, progress: make(map[shelfshelf.PoolName]*rolloutProgress),
 	}
-	return w
+	return sim
 }
 
 // messageDelay returns the delay of a message.
-func (w *simulation) messageDelay() time.Duration {
-	return time.Duration((0.03 + 0.27*w.random.Float64()) * float64(time.Second))
+func (sim *simulation) messageDelay() time.Duration {
+	return time.Duration((0.03 + 0.27*sim.random.Float64()) * float64(time.Second))
 }
 
-func (w *simulation) learnRollout(i int) {
-	w.records[i].Targets(w.targets, 12)
-	if known, asOf := w.records[0].Told(); len(known) > 0 {
+func (sim *simulation) learnRollout(i int) {
+	sim.records[i].Targets(sim.targets, 12)
+	if known, asOf := sim.records[0].Told(); len(known) > 0 {
 		// An instance that starts later learns what the others know.
-		w.records[i].Heard(known, asOf, "test")
+		sim.records[i].Heard(known, asOf, "test")
 		return
 	}
-	w.records[i].Heard([]shelfshelf.Rollout{{
-		Pool: "p", Revision: 10, Version: "v2", Period: w.period, Age: w.now.Sub(w.began), State: shelfshelf.RolloutServing,
+	sim.records[i].Heard([]shelfshelf.Rollout{{
+		Pool: "p", Revision: 10, Version: "v2", Period: sim.period, Age: sim.now.Sub(sim.began), State: shelfshelf.RolloutServing,
 	}}, 20, "test")
 }
 
 // poll polls the instances as the Keeper does; some responses are lost.
-func (w *simulation) poll() {
-	active := w.records[0].Under()
+func (sim *simulation) poll() {
+	active := sim.records[0].Under()
 	if len(active) > 0 {
 		var reports []Report
 		unreachable := 0
-		for i, record := range w.records {
-			if i > 0 && (w.partitioned[i] || w.random.Float64() < 0.02) {
+		for i, record := range sim.records {
+			if i > 0 && (sim.partitioned[i] || sim.random.Float64() < 0.02) {
 				unreachable++
 				continue
 			}
-			reports = append(reports, Report{Life: Life{Instance: shelfshelf.InstanceID(fmt.Sprint(i)), Incarnation: w.incarnations[i]}, Orders: record.Counted()})
+			reports = append(reports, Report{Life: Life{Instance: shelfshelf.InstanceID(fmt.Sprint(i)), Incarnation: sim.incarnations[i]}, Orders: record.Counted()})
 		}
-		w.keeper.evaluateAll(context.Background(), active, reports, unreachable, true)
-		if t := w.keeper.progress["p"]; t != nil {
-			w.why = fmt.Sprintf("%s %.1f of %.1f, %d trials", t.verdict.Why, t.verdict.Against, t.verdict.Limit, t.verdict.Trials)
+		sim.keeper.evaluateAll(context.Background(), active, reports, unreachable, true)
+		if t := sim.keeper.progress["p"]; t != nil {
+			sim.why = fmt.Sprintf("%s %.1f of %.1f, %d trials", t.verdict.Why, t.verdict.Against, t.verdict.Limit, t.verdict.Trials)
 		}
 	}
-	w.broadcast()
-	w.after(pollInterval, w.poll)
+	sim.broadcast()
+	sim.after(pollInterval, sim.poll)
 }
 
 // broadcast sends the rollouts known to the Keeper's instance to the others.
-func (w *simulation) broadcast() {
-	known, asOf := w.records[0].Told()
-	sent := w.now
-	for i := range w.records {
-		w.after(w.messageDelay(), func() {
-			if !w.partitioned[i] {
+func (sim *simulation) broadcast() {
+	known, asOf := sim.records[0].Told()
+	sent := sim.now
+	for i := range sim.records {
+		sim.after(sim.messageDelay(), func() {
+			if !sim.partitioned[i] {
 				late := make([]shelfshelf.Rollout, len(known))
 				for j, rollout := range known {
-					rollout.Age += w.now.Sub(sent)
+					rollout.Age += sim.now.Sub(sent)
 					if rollout.State == shelfshelf.RolloutMoving {
-						rollout.Moving += w.now.Sub(sent)
+						rollout.Moving += sim.now.Sub(sent)
 					}
 					late[j] = rollout
 				}
-				w.records[i].Heard(late, asOf, "test")
+				sim.records[i].Heard(late, asOf, "test")
 			}
 		})
 	}
 }
 
 // injectFault restarts or partitions an instance.
-func (w *simulation) injectFault() {
-	i := 1 + w.random.IntN(len(w.records)-1)
-	if w.random.Float64() < 0.5 {
-		w.records[i] = w.newRecord()
-		w.incarnations[i]++
-		w.records[i].Targets(w.targets, 12)
-		w.after(w.messageDelay(), func() { w.learnRollout(i) })
+func (sim *simulation) injectFault() {
+	i := 1 + sim.random.IntN(len(sim.records)-1)
+	if sim.random.Float64() < 0.5 {
+		sim.records[i] = sim.newRecord()
+		sim.incarnations[i]++
+		sim.records[i].Targets(sim.targets, 12)
+		sim.after(sim.messageDelay(), func() { sim.learnRollout(i) })
 	} else {
-		w.partitioned[i] = true
-		w.after(time.Duration(w.random.Float64()*float64(3*time.Second)), func() { w.partitioned[i] = false })
+		sim.partitioned[i] = true
+		sim.after(time.Duration(sim.random.Float64()*float64(3*time.Second)), func() { sim.partitioned[i] = false })
 	}
-	w.after(time.Duration(w.random.ExpFloat64()*float64(time.Second)), w.injectFault)
+	sim.after(time.Duration(sim.random.ExpFloat64()*float64(time.Second)), sim.injectFault)
 }
 
 // arrive simulates the arrival of one request.
-func (w *simulation) arrive() {
-	rate := w.rate
-	age := w.now.Sub(w.began)
-	if w.burst && age > w.period/3 && age < w.period/2 {
+func (sim *simulation) arrive() {
+	rate := sim.rate
+	age := sim.now.Sub(sim.began)
+	if sim.burst && age > sim.period/3 && age < sim.period/2 {
 		rate *= 2.2
 	}
-	w.after(time.Duration(w.random.ExpFloat64()/rate*float64(time.Second)), w.arrive)
-	record := w.records[w.random.IntN(len(w.records))]
-	targets := w.targets
+	sim.after(time.Duration(sim.random.ExpFloat64()/rate*float64(time.Second)), sim.arrive)
+	record := sim.records[sim.random.IntN(len(sim.records))]
+	targets := sim.targets
 	if known, _ := record.Told(); len(known) == 0 {
 		// The instance doesn't know the new targets yet either.
-		targets = targets[:w.size.targets]
+		targets = targets[:sim.size.targets]
 	}
 	choice := record.Choose("p", targets)
 	var best *shelfshelf.Target
-	from, step := w.random.IntN(len(targets)), []int{7, 11, 13, 17, 19, 23}[w.random.IntN(6)]
+	from, step := sim.random.IntN(len(targets)), []int{7, 11, 13, 17, 19, 23}[sim.random.IntN(6)]
 	for i, looked := 0, 0; i < len(targets) && looked < 8; i++ {
 		target := &targets[(from+i*step)%len(targets)]
 		if !choice.Allows(*target) {
 			continue
 		}
 		looked++
-		if best == nil || w.running[target.Name] < w.running[best.Name] {
+		if best == nil || sim.running[target.Name] < sim.running[best.Name] {
 			best = target
 		}
 	}
 	if best == nil {
 		return
 	}
-	w.run(record, *best)
+	sim.run(record, *best)
 }
 
 // run runs a request at a target.
-func (w *simulation) run(record *Record, target shelfshelf.Target) {
+func (sim *simulation) run(record *Record, target shelfshelf.Target) {
 	record.Began(target)
-	age := w.now.Sub(w.began)
+	age := sim.now.Sub(sim.began)
 	onNew := target.Version == "v2"
-	if age < w.period {
-		w.all++
+	if age < sim.period {
+		sim.all++
 		if onNew {
-			w.exposed++
+			sim.exposed++
 		}
 	}
 	if onNew {
-		w.lastNewRequest = w.now
+		sim.lastNewRequest = sim.now
 	}
-	w.running[target.Name]++
-	route := w.random.IntN(routes)
-	took := usualTime * w.timeFactors[target.Name] * math.Exp(0.3*w.random.NormFloat64()) * (1 + float64(w.running[target.Name]-1)/18)
+	sim.running[target.Name]++
+	route := sim.random.IntN(routes)
+	took := usualTime * sim.timeFactors[target.Name] * math.Exp(0.3*sim.random.NormFloat64()) * (1 + float64(sim.running[target.Name]-1)/18)
 	failing := 0.004
 	if route == 1 {
 		failing = 0.14
 	}
-	if w.grey[target.Name] {
+	if sim.grey[target.Name] {
 		failing = 0.4
 	}
-	if w.lost && target.DataCentre == "1" && age > w.period/3 && age < w.period/2 {
+	if sim.lost && target.DataCentre == "1" && age > sim.period/3 && age < sim.period/2 {
 		failing = 1
 	}
-	badNow := onNew && float64(age) >= w.from*float64(w.period) && w.running[target.Name] >= w.loaded && (!w.oneRoute || route == 5)
+	badNow := onNew && float64(age) >= sim.from*float64(sim.period) && sim.running[target.Name] >= sim.loaded && (!sim.oneRoute || route == 5)
 	if badNow {
-		failing = 1 - (1-failing)*(1-w.fail)
-		took *= max(w.slower, 1)
+		failing = 1 - (1-failing)*(1-sim.fail)
+		took *= max(sim.slower, 1)
 	}
-	failed := w.random.Float64() < failing
+	failed := sim.random.Float64() < failing
 	if onNew {
-		w.runningByVersion[record][1]++
+		sim.runningByVersion[record][1]++
 	} else {
-		w.runningByVersion[record][0]++
+		sim.runningByVersion[record][0]++
 	}
-	w.after(time.Duration(took*float64(time.Second)), func() {
-		w.running[target.Name]--
+	sim.after(time.Duration(took*float64(time.Second)), func() {
+		sim.running[target.Name]--
 		if onNew {
-			w.runningByVersion[record][1]--
+			sim.runningByVersion[record][1]--
 		} else {
-			w.runningByVersion[record][0]--
+			sim.runningByVersion[record][0]--
 		}
 		record.Ended(target, shelfshelf.AttemptReport{
 			Route: shelfshelf.RouteName(fmt.Sprint("r", route)), Failed: failed, First: took / usualTime,
 		})
-		if badNow && (failed || w.slower > 0) {
-			if w.failed++; w.failed == 50 {
-				w.fiftiethBadAt = w.now
+		if badNow && (failed || sim.slower > 0) {
+			if sim.failed++; sim.failed == 50 {
+				sim.fiftiethBadAt = sim.now
 			}
-			if active := w.records[0].Under(); len(active) > 0 && active[0].State < shelfshelf.RolloutMoving {
-				w.badTrialAnswers++
+			if active := sim.records[0].Under(); len(active) > 0 && active[0].State < shelfshelf.RolloutMoving {
+				sim.badTrialAnswers++
 			}
 		}
 	})
 }
 
 // play simulates the rollout until well past its deadline.
-func (w *simulation) play() {
-	w.after(0, w.arrive)
-	w.after(100*time.Millisecond, w.poll)
-	w.after(time.Second, w.injectFault)
-	end := w.began.Add(w.period + 8*time.Second)
-	for w.events.Len() > 0 {
-		next := heap.Pop(&w.events).(event)
-		if next.at.After(end) || !w.ended.IsZero() && next.at.After(w.ended.Add(2*time.Second)) && next.at.After(w.began.Add(w.period)) {
+func (sim *simulation) play() {
+	sim.after(0, sim.arrive)
+	sim.after(100*time.Millisecond, sim.poll)
+	sim.after(time.Second, sim.injectFault)
+	end := sim.began.Add(sim.period + 8*time.Second)
+	for sim.events.Len() > 0 {
+		next := heap.Pop(&sim.events).(event)
+		if next.at.After(end) || !sim.ended.IsZero() && next.at.After(sim.ended.Add(2*time.Second)) && next.at.After(sim.began.Add(sim.period)) {
 			return
 		}
-		w.now = next.at
+		sim.now = next.at
 		next.do()
 	}
 }
--- a/rollout/slowdown.go
+++ b/rollout/slowdown.go
@@ -57,14 +57,14 @@
 // logarithm of a ratio, and the number of targets that this is based on.
 func meanSlowdown(tried []answerCounts, baseline *Histogram) (slowdown float64, count int) {
 	mean, variance, _ := baseline.moments()
-	most := maxTargetDeviations * math.Sqrt(variance)
+	maxDeviation := maxTargetDeviations * math.Sqrt(variance)
 	sum := 0.0
 	for _, target := range tried {
-		own, _, times := target.times.moments()
+		targetMean, _, times := target.times.moments()
 		if times < minTimesPerTarget {
 			continue
 		}
-		sum += min(max(own-mean, -most), most)
+		sum += min(max(targetMean-mean, -maxDeviation), maxDeviation)
 		count++
 	}
 	if count == 0 {
--- a/rollout/tally.go
+++ b/rollout/tally.go
@@ -20,17 +20,17 @@
 	times    Histogram
 }
 
-func (p *answerCounts) add(bad, all uint64) {
-	p.bad += bad
-	p.all += all
+func (a *answerCounts) add(bad, all uint64) {
+	a.bad += bad
+	a.all += all
 }
 
 // rate returns the fraction of bad answers; 0 if there are no answers.
-func (p answerCounts) rate() float64 {
-	if p.all == 0 {
+func (a answerCounts) rate() float64 {
+	if a.all == 0 {
 		return 0
 	}
-	return float64(p.bad) / float64(p.all)
+	return float64(a.bad) / float64(a.all)
 }
 
 func newTally() *tally {
@@ -40,11 +40,11 @@
 // add adds the answers of one round. Times are left out during the move, because they change with the
 // load then.
 func (t *tally) add(s *interval, baseline *Cell) {
-	for i, m := range criteria {
-		if s.moving && m.histogram != nil {
+	for i, c := range criteria {
+		if s.moving && c.histogram != nil {
 			continue
 		}
-		bad, all, known := m.count(&s.old, baseline)
+		bad, all, known := c.count(&s.old, baseline)
 		if !known {
 			continue
 		}
@@ -53,11 +53,11 @@
 			if t.newTargets[name] == nil {
 				t.newTargets[name] = make([]answerCounts, len(criteria))
 			}
-			of := &t.newTargets[name][i]
-			bad, all, _ := m.count(cell, baseline)
-			of.add(bad, all)
-			if m.histogram != nil {
-				of.times.add(m.histogram(cell))
+			counts := &t.newTargets[name][i]
+			bad, all, _ := c.count(cell, baseline)
+			counts.add(bad, all)
+			if c.histogram != nil {
+				counts.times.add(c.histogram(cell))
 			}
 		}
 	}
@@ -66,9 +66,9 @@
 // triedTargets returns the counts of each tried target by a criterion.
 func (t *tally) triedTargets(criterion int) []answerCounts {
 	var tried []answerCounts
-	for _, of := range t.newTargets {
-		if of[criterion].all > 0 {
-			tried = append(tried, of[criterion])
+	for _, counts := range t.newTargets {
+		if counts[criterion].all > 0 {
+			tried = append(tried, counts[criterion])
 		}
 	}
 	return tried
@@ -77,8 +77,8 @@
 // badAnswers returns the number of the new version's bad answers by a criterion.
 func (t *tally) badAnswers(criterion int) uint64 {
 	sum := uint64(0)
-	for _, of := range t.newTargets {
-		sum += of[criterion].bad
+	for _, counts := range t.newTargets {
+		sum += counts[criterion].bad
 	}
 	return sum
 }
@@ -92,8 +92,8 @@
 	tried := t.triedTargets(criterion)
 	slices.SortFunc(tried, func(a, b answerCounts) int { return cmp.Compare(a.rate(), b.rate()) })
 	var kept answerCounts
-	for _, p := range tried[:max(int(badTargetFraction*float64(len(tried))), 1)] {
-		kept.add(p.bad, p.all)
+	for _, counts := range tried[:max(int(badTargetFraction*float64(len(tried))), 1)] {
+		kept.add(counts.bad, counts.all)
 	}
 	return kept.rate() >= excessRateRatio*t.old[criterion].rate()
 }
