--- a/rollout/sim_test.go
+++ b/rollout/sim_test.go
@@ -14,39 +14,40 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-// The operator's bounds on a bad version, as on the platform.
+// The operator's bounds on a bad version, as configured on the platform.
 const (
 	share    = 0.1
 	slack    = 50
 	rollback = 5 * time.Second
-	// usualTime is the time of an answer at a usual target, in seconds.
+	// usualTime is the time of an answer of an average target, in seconds.
 	usualTime = 0.3
 	routes    = 20
-	// tellingAnswers is how many bad answers of trials show a fault. A target with one counts
-	// for 1.0 to 1.2 (strayPart), and each other answer of a version that fails 0.6 takes some
-	// 0.5 back (sparedPart): 0.67 a bad answer, 20 of them for the limit of 13.2; 32 answers
-	// reach it in 99 of 100 draws (normal, with a spread of the root of 1.5 times 20).
-	tellingAnswers = 32
-	// slowAnswers is the same for answers that are slow: each says a quarter of what a failure
-	// does, ln(1/0.31) against ln(1/0.015) by the bases and the usual shares.
-	slowAnswers = 4 * tellingAnswers
+	// conclusiveAnswers is how many bad answers of trials are enough to detect a fault. A target with
+	// one counts for 1.0 to 1.2 (contaminationFraction), and each other answer of a version that fails
+	// 0.6 of its requests takes about 0.5 back (unaffectedFraction): 0.67 per bad answer, so that 20 of
+	// them reach the limit of 13.2. 32 answers reach it in 99 of 100 cases (normal, with a standard
+	// deviation of the root of 1.5 times 20).
+	conclusiveAnswers = 32
+	// conclusiveSlowAnswers is the same for slow answers. Each has a quarter of the weight of a
+	// failure: ln(1/0.31) against ln(1/0.015) by the null odds ratios and the usual rates.
+	conclusiveSlowAnswers = 4 * conclusiveAnswers
 )
 
-// fault is what is wrong with a version, or with the world around both.
+// fault describes what is wrong with the new version, or with the environment of both.
 type fault struct {
 	name string
-	// bad says that the new version is to be given up.
+	// bad reports that the new version should be rolled back.
 	bad bool
-	// fail is the part of its answers that fail, slower the factor of their times.
+	// fail is the fraction of its answers that fail, and slower the factor of their times.
 	fail, slower float64
-	// from is the part of the period after which it is so, and loaded how many requests its
-	// target has to run for it.
+	// from is the fraction of the period after which the fault begins. loaded is the number of requests
+	// that a target must have running for the fault to occur.
 	from   float64
 	loaded int
-	// oneRoute restricts it to one route.
+	// oneRoute restricts the fault to one route.
 	oneRoute bool
-	// burst, grey and lost strike both versions: more requests, targets that fail, a data
-	// centre that is gone for a while.
+	// burst, grey and lost affect both versions: a burst of requests, targets that fail often, an
+	// unavailable data centre.
 	burst, grey, lost bool
 }
 
@@ -68,7 +69,7 @@
 	{name: "fails 0.6, burst", bad: true, fail: 0.6, burst: true},
 }
 
-// size is one deployment.
+// size is the size of a deployment.
 type size struct {
 	instances, targets int
 	rate               float64
@@ -76,9 +77,9 @@
 
 var sizes = []size{{6, 18, 120}, {85, 60, 426}, {300, 150, 1500}}
 
-// world is one simulated roll-out: real records and a real keeper on a simulated clock,
-// before modelled targets, with words that are late or lost and instances that end.
-type world struct {
+// simulation runs one rollout with real Records and a real Keeper on a simulated clock. Targets are
+// modelled, messages between instances are delayed or lost, and instances restart.
+type simulation struct {
 	size
 	fault
 	period  time.Duration
@@ -87,25 +88,25 @@
 	began   time.Time
 	events  eventQueue
 	records []*Record
-	// cut says that an instance hears nothing for now.
-	cut     []bool
-	lives   []uint64
-	keeper  *Keeper
-	targets []shelfshelf.Target
-	// versions are what each instance has at old and at new targets.
-	versions map[*Record]*[2]int
-	speeds   map[shelfshelf.TargetName]float64
-	running  map[shelfshelf.TargetName]int
-	grey     map[shelfshelf.TargetName]bool
-	state    shelfshelf.RolloutState
+	// partitioned marks the instances that receive nothing at present.
+	partitioned  []bool
+	incarnations []uint64
+	keeper       *Keeper
+	targets      []shelfshelf.Target
+	// runningByVersion counts the requests that each instance has running at old and at new targets.
+	runningByVersion map[*Record]*[2]int
+	timeFactors      map[shelfshelf.TargetName]float64
+	running          map[shelfshelf.TargetName]int
+	grey             map[shelfshelf.TargetName]bool
+	state            shelfshelf.RolloutState
 
 	all, exposed, failed int
-	// shown counts the bad answers of trials before the move.
-	shown    int
-	fiftieth time.Time
-	last     time.Time
-	ended    time.Time
-	why      string
+	// badTrialAnswers counts the bad answers of trials before the move.
+	badTrialAnswers int
+	fiftiethBadAt   time.Time
+	lastNewRequest  time.Time
+	ended           time.Time
+	why             string
 }
 
 type event struct {
@@ -126,51 +127,51 @@
 	return last
 }
 
-func (w *world) Now() time.Time                       { return w.now }
-func (w *world) After(time.Duration) <-chan time.Time { return nil }
+func (sim *simulation) Now() time.Time                       { return sim.now }
+func (sim *simulation) After(time.Duration) <-chan time.Time { return nil }
 
-func (w *world) after(d time.Duration, do func()) {
-	heap.Push(&w.events, event{w.now.Add(d), do})
+func (sim *simulation) after(d time.Duration, do func()) {
+	heap.Push(&sim.events, event{sim.now.Add(d), do})
 }
 
-// SaveRollout writes a step, at times after an outage of the store.
-func (w *world) SaveRollout(_ context.Context, r shelfshelf.Rollout) (uint64, error) {
-	if w.random.Float64() < 0.1 {
+// SaveRollout stores a state; it fails at times with ErrUnavailable.
+func (sim *simulation) SaveRollout(_ context.Context, r shelfshelf.Rollout) (uint64, error) {
+	if sim.random.Float64() < 0.1 {
 		return 0, shelfshelf.ErrUnavailable
 	}
-	if w.state.Over() {
+	if sim.state.Over() {
 		return 0, shelfshelf.ErrConflict
 	}
-	w.state = r.State
+	sim.state = r.State
 	if r.State.Over() {
-		w.ended = w.now
+		sim.ended = sim.now
 	}
 	return r.Stored + 1, nil
 }
 
-func (w *world) LoadRollouts(context.Context) ([]shelfshelf.Rollout, error) {
-	return []shelfshelf.Rollout{{Pool: "p", Revision: 10, State: w.state}}, nil
+func (sim *simulation) LoadRollouts(context.Context) ([]shelfshelf.Rollout, error) {
+	return []shelfshelf.Rollout{{Pool: "p", Revision: 10, State: sim.state}}, nil
 }
 
-func (w *world) newRecord() *Record {
+func (sim *simulation) newRecord() *Record {
 	running := &[2]int{}
 	record := &Record{
-		Instances: func() int { return w.instances },
+		Instances: func() int { return sim.instances },
 		Running:   func(shelfshelf.PoolName, shelfshelf.TargetVersion) (int, int) { return running[0], running[1] },
-		Clock:     w, Log: log.New(io.Discard), Bounds: Bounds{Share: share, Slack: slack}, Random: w.random.Float64,
+		Clock:     sim, Log: log.New(io.Discard), Bounds: Bounds{Share: share, Slack: slack}, Random: sim.random.Float64,
 	}
-	w.versions[record] = running
+	sim.runningByVersion[record] = running
 	return record
 }
 
-func newWorld(s size, f fault, period time.Duration, seed uint64) *world {
-	w := &world{
+func newSimulation(s size, f fault, period time.Duration, seed uint64) *simulation {
+	sim := &simulation{
 		size: s, fault: f, period: period, random: rand.New(rand.NewPCG(seed, 7)),
-		now: time.Unix(1000, 0), speeds: make(map[shelfshelf.TargetName]float64),
-		versions: make(map[*Record]*[2]int),
-		running:  make(map[shelfshelf.TargetName]int), grey: make(map[shelfshelf.TargetName]bool),
+		now: time.Unix(1000, 0), timeFactors: make(map[shelfshelf.TargetName]float64),
+		runningByVersion: make(map[*Record]*[2]int),
+		running:          make(map[shelfshelf.TargetName]int), grey: make(map[shelfshelf.TargetName]bool),
 	}
-	w.began = w.now
+	sim.began = sim.now
 	for version := range 2 {
 		for i := range s.targets {
 			target := shelfshelf.Target{
@@ -178,207 +179,207 @@
 				Version:    shelfshelf.TargetVersion(fmt.Sprint("v", version+1)),
 				DataCentre: shelfshelf.DataCentre(fmt.Sprint(i % 4)),
 			}
-			w.targets = append(w.targets, target)
-			w.speeds[target.Name] = min(max(math.Exp(0.5*w.random.NormFloat64()), 0.55), 2.8)
-			w.grey[target.Name] = f.grey && w.random.Float64() < 0.15
+			sim.targets = append(sim.targets, target)
+			sim.timeFactors[target.Name] = min(max(math.Exp(0.5*sim.random.NormFloat64()), 0.55), 2.8)
+			sim.grey[target.Name] = f.grey && sim.random.Float64() < 0.15
 		}
 	}
-	w.cut = make([]bool, s.instances)
-	w.lives = make([]uint64, s.instances)
+	sim.partitioned = make([]bool, s.instances)
+	sim.incarnations = make([]uint64, s.instances)
 	for range s.instances {
-		w.records = append(w.records, w.newRecord())
+		sim.records = append(sim.records, sim.newRecord())
 	}
-	for i, record := range w.records {
-		record.Targets(w.targets[:s.targets], 1)
-		w.after(w.lag(), func() { w.learn(i) })
+	for i, record := range sim.records {
+		record.Targets(sim.targets[:s.targets], 1)
+		sim.after(sim.messageDelay(), func() { sim.learnRollout(i) })
 	}
-	w.keeper = &Keeper{
-		Clock: w, Log: log.New(io.Discard), Record: w.records[0], Store: w, Self: Life{Instance: "0"},
+	sim.keeper = &Keeper{
+		Clock: sim, Log: log.New(io.Discard), Record: sim.records[0], Store: sim, Self: Life{Instance: "0"},
 		Leads: func() bool { return true }, Asks: func() bool { return true },
-		Others: func(bool) []string { return nil }, cases: make(map[shelfshelf.PoolName]*trial),
+		Others: func(bool) []string { return nil }, progress: make(map[shelfshelf.PoolName]*rolloutProgress),
 	}
-	return w
+	return sim
 }
 
-// lag is how late a word comes.
-func (w *world) lag() time.Duration {
-	return time.Duration((0.03 + 0.27*w.random.Float64()) * float64(time.Second))
+// messageDelay returns the delay of a message.
+func (sim *simulation) messageDelay() time.Duration {
+	return time.Duration((0.03 + 0.27*sim.random.Float64()) * float64(time.Second))
 }
 
-func (w *world) learn(i int) {
-	w.records[i].Targets(w.targets, 12)
-	if told, asOf := w.records[0].Told(); len(told) > 0 {
-		// Who starts later hears what the others know.
-		w.records[i].Heard(told, asOf, "test")
+func (sim *simulation) learnRollout(i int) {
+	sim.records[i].Targets(sim.targets, 12)
+	if known, asOf := sim.records[0].Told(); len(known) > 0 {
+		// An instance that starts later learns what the others know.
+		sim.records[i].Heard(known, asOf, "test")
 		return
 	}
-	w.records[i].Heard([]shelfshelf.Rollout{{
-		Pool: "p", Revision: 10, Version: "v2", Period: w.period, Age: w.now.Sub(w.began), State: shelfshelf.RolloutServing,
+	sim.records[i].Heard([]shelfshelf.Rollout{{
+		Pool: "p", Revision: 10, Version: "v2", Period: sim.period, Age: sim.now.Sub(sim.began), State: shelfshelf.RolloutServing,
 	}}, 20, "test")
 }
 
-// look asks instances as the keeper does; some answers are lost.
-func (w *world) look() {
-	under := w.records[0].Under()
-	if len(under) > 0 {
+// poll polls the instances as the Keeper does; some responses are lost.
+func (sim *simulation) poll() {
+	active := sim.records[0].Under()
+	if len(active) > 0 {
 		var reports []Report
-		silent := 0
-		for i, record := range w.records {
-			if i > 0 && (w.cut[i] || w.random.Float64() < 0.02) {
-				silent++
+		unreachable := 0
+		for i, record := range sim.records {
+			if i > 0 && (sim.partitioned[i] || sim.random.Float64() < 0.02) {
+				unreachable++
 				continue
 			}
-			reports = append(reports, Report{Life: Life{Instance: shelfshelf.InstanceID(fmt.Sprint(i)), Incarnation: w.lives[i]}, Orders: record.Counted()})
+			reports = append(reports, Report{Life: Life{Instance: shelfshelf.InstanceID(fmt.Sprint(i)), Incarnation: sim.incarnations[i]}, Orders: record.Counted()})
 		}
-		w.keeper.step(context.Background(), under, reports, silent, true)
-		if t := w.keeper.cases["p"]; t != nil {
-			w.why = fmt.Sprintf("%s %.1f of %.1f, %d trials", t.verdict.Why, t.verdict.Against, t.verdict.Limit, t.verdict.Trials)
+		sim.keeper.evaluateAll(context.Background(), active, reports, unreachable, true)
+		if t := sim.keeper.progress["p"]; t != nil {
+			sim.why = fmt.Sprintf("%s %.1f of %.1f, %d trials", t.verdict.Why, t.verdict.Against, t.verdict.Limit, t.verdict.Trials)
 		}
 	}
-	w.spread()
-	w.after(askPeriod, w.look)
+	sim.broadcast()
+	sim.after(pollInterval, sim.poll)
 }
 
-// spread tells the others what the keeper's instance knows.
-func (w *world) spread() {
-	told, asOf := w.records[0].Told()
-	sent := w.now
-	for i := range w.records {
-		w.after(w.lag(), func() {
-			if !w.cut[i] {
-				late := make([]shelfshelf.Rollout, len(told))
-				for j, word := range told {
-					word.Age += w.now.Sub(sent)
-					if word.State == shelfshelf.RolloutMoving {
-						word.Moving += w.now.Sub(sent)
+// broadcast sends the rollouts known to the Keeper's instance to the others.
+func (sim *simulation) broadcast() {
+	known, asOf := sim.records[0].Told()
+	sent := sim.now
+	for i := range sim.records {
+		sim.after(sim.messageDelay(), func() {
+			if !sim.partitioned[i] {
+				late := make([]shelfshelf.Rollout, len(known))
+				for j, rollout := range known {
+					rollout.Age += sim.now.Sub(sent)
+					if rollout.State == shelfshelf.RolloutMoving {
+						rollout.Moving += sim.now.Sub(sent)
 					}
-					late[j] = word
+					late[j] = rollout
 				}
-				w.records[i].Heard(late, asOf, "test")
+				sim.records[i].Heard(late, asOf, "test")
 			}
 		})
 	}
 }
 
-// disturb ends instances and cuts them off.
-func (w *world) disturb() {
-	i := 1 + w.random.IntN(len(w.records)-1)
-	if w.random.Float64() < 0.5 {
-		w.records[i] = w.newRecord()
-		w.lives[i]++
-		w.records[i].Targets(w.targets, 12)
-		w.after(w.lag(), func() { w.learn(i) })
+// injectFault restarts or partitions an instance.
+func (sim *simulation) injectFault() {
+	i := 1 + sim.random.IntN(len(sim.records)-1)
+	if sim.random.Float64() < 0.5 {
+		sim.records[i] = sim.newRecord()
+		sim.incarnations[i]++
+		sim.records[i].Targets(sim.targets, 12)
+		sim.after(sim.messageDelay(), func() { sim.learnRollout(i) })
 	} else {
-		w.cut[i] = true
-		w.after(time.Duration(w.random.Float64()*float64(3*time.Second)), func() { w.cut[i] = false })
+		sim.partitioned[i] = true
+		sim.after(time.Duration(sim.random.Float64()*float64(3*time.Second)), func() { sim.partitioned[i] = false })
 	}
-	w.after(time.Duration(w.random.ExpFloat64()*float64(time.Second)), w.disturb)
+	sim.after(time.Duration(sim.random.ExpFloat64()*float64(time.Second)), sim.injectFault)
 }
 
-// arrive lets one request come.
-func (w *world) arrive() {
-	rate := w.rate
-	age := w.now.Sub(w.began)
-	if w.burst && age > w.period/3 && age < w.period/2 {
+// arrive simulates the arrival of one request.
+func (sim *simulation) arrive() {
+	rate := sim.rate
+	age := sim.now.Sub(sim.began)
+	if sim.burst && age > sim.period/3 && age < sim.period/2 {
 		rate *= 2.2
 	}
-	w.after(time.Duration(w.random.ExpFloat64()/rate*float64(time.Second)), w.arrive)
-	record := w.records[w.random.IntN(len(w.records))]
-	targets := w.targets
-	if told, _ := record.Told(); len(told) == 0 {
-		// It doesn't know the new targets either.
-		targets = targets[:w.size.targets]
+	sim.after(time.Duration(sim.random.ExpFloat64()/rate*float64(time.Second)), sim.arrive)
+	record := sim.records[sim.random.IntN(len(sim.records))]
+	targets := sim.targets
+	if known, _ := record.Told(); len(known) == 0 {
+		// The instance doesn't know the new targets yet either.
+		targets = targets[:sim.size.targets]
 	}
 	choice := record.Choose("p", targets)
 	var best *shelfshelf.Target
-	from, step := w.random.IntN(len(targets)), []int{7, 11, 13, 17, 19, 23}[w.random.IntN(6)]
+	from, step := sim.random.IntN(len(targets)), []int{7, 11, 13, 17, 19, 23}[sim.random.IntN(6)]
 	for i, looked := 0, 0; i < len(targets) && looked < 8; i++ {
 		target := &targets[(from+i*step)%len(targets)]
 		if !choice.Allows(*target) {
 			continue
 		}
 		looked++
-		if best == nil || w.running[target.Name] < w.running[best.Name] {
+		if best == nil || sim.running[target.Name] < sim.running[best.Name] {
 			best = target
 		}
 	}
 	if best == nil {
 		return
 	}
-	w.run(record, *best)
+	sim.run(record, *best)
 }
 
 // run runs a request at a target.
-func (w *world) run(record *Record, target shelfshelf.Target) {
+func (sim *simulation) run(record *Record, target shelfshelf.Target) {
 	record.Began(target)
-	age := w.now.Sub(w.began)
-	fresh := target.Version == "v2"
-	if age < w.period {
-		w.all++
-		if fresh {
-			w.exposed++
+	age := sim.now.Sub(sim.began)
+	onNew := target.Version == "v2"
+	if age < sim.period {
+		sim.all++
+		if onNew {
+			sim.exposed++
 		}
 	}
-	if fresh {
-		w.last = w.now
+	if onNew {
+		sim.lastNewRequest = sim.now
 	}
-	w.running[target.Name]++
-	route := w.random.IntN(routes)
-	took := usualTime * w.speeds[target.Name] * math.Exp(0.3*w.random.NormFloat64()) * (1 + float64(w.running[target.Name]-1)/18)
+	sim.running[target.Name]++
+	route := sim.random.IntN(routes)
+	took := usualTime * sim.timeFactors[target.Name] * math.Exp(0.3*sim.random.NormFloat64()) * (1 + float64(sim.running[target.Name]-1)/18)
 	failing := 0.004
 	if route == 1 {
 		failing = 0.14
 	}
-	if w.grey[target.Name] {
+	if sim.grey[target.Name] {
 		failing = 0.4
 	}
-	if w.lost && target.DataCentre == "1" && age > w.period/3 && age < w.period/2 {
+	if sim.lost && target.DataCentre == "1" && age > sim.period/3 && age < sim.period/2 {
 		failing = 1
 	}
-	badNow := fresh && float64(age) >= w.from*float64(w.period) && w.running[target.Name] >= w.loaded && (!w.oneRoute || route == 5)
+	badNow := onNew && float64(age) >= sim.from*float64(sim.period) && sim.running[target.Name] >= sim.loaded && (!sim.oneRoute || route == 5)
 	if badNow {
-		failing = 1 - (1-failing)*(1-w.fail)
-		took *= max(w.slower, 1)
+		failing = 1 - (1-failing)*(1-sim.fail)
+		took *= max(sim.slower, 1)
 	}
-	failed := w.random.Float64() < failing
-	if fresh {
-		w.versions[record][1]++
+	failed := sim.random.Float64() < failing
+	if onNew {
+		sim.runningByVersion[record][1]++
 	} else {
-		w.versions[record][0]++
+		sim.runningByVersion[record][0]++
 	}
-	w.after(time.Duration(took*float64(time.Second)), func() {
-		w.running[target.Name]--
-		if fresh {
-			w.versions[record][1]--
+	sim.after(time.Duration(took*float64(time.Second)), func() {
+		sim.running[target.Name]--
+		if onNew {
+			sim.runningByVersion[record][1]--
 		} else {
-			w.versions[record][0]--
+			sim.runningByVersion[record][0]--
 		}
 		record.Ended(target, shelfshelf.AttemptReport{
 			Route: shelfshelf.RouteName(fmt.Sprint("r", route)), Failed: failed, First: took / usualTime,
 		})
-		if badNow && (failed || w.slower > 0) {
-			if w.failed++; w.failed == 50 {
-				w.fiftieth = w.now
+		if badNow && (failed || sim.slower > 0) {
+			if sim.failed++; sim.failed == 50 {
+				sim.fiftiethBadAt = sim.now
 			}
-			if under := w.records[0].Under(); len(under) > 0 && under[0].State < shelfshelf.RolloutMoving {
-				w.shown++
+			if active := sim.records[0].Under(); len(active) > 0 && active[0].State < shelfshelf.RolloutMoving {
+				sim.badTrialAnswers++
 			}
 		}
 	})
 }
 
-// play plays the roll-out until well past its deadline.
-func (w *world) play() {
-	w.after(0, w.arrive)
-	w.after(100*time.Millisecond, w.look)
-	w.after(time.Second, w.disturb)
-	end := w.began.Add(w.period + 8*time.Second)
-	for w.events.Len() > 0 {
-		next := heap.Pop(&w.events).(event)
-		if next.at.After(end) || !w.ended.IsZero() && next.at.After(w.ended.Add(2*time.Second)) && next.at.After(w.began.Add(w.period)) {
+// play simulates the rollout until well past its deadline.
+func (sim *simulation) play() {
+	sim.after(0, sim.arrive)
+	sim.after(100*time.Millisecond, sim.poll)
+	sim.after(time.Second, sim.injectFault)
+	end := sim.began.Add(sim.period + 8*time.Second)
+	for sim.events.Len() > 0 {
+		next := heap.Pop(&sim.events).(event)
+		if next.at.After(end) || !sim.ended.IsZero() && next.at.After(sim.ended.Add(2*time.Second)) && next.at.After(sim.began.Add(sim.period)) {
 			return
 		}
-		w.now = next.at
+		sim.now = next.at
 		next.do()
 	}
 }
