--- a/evacuation/doc.go
+++ b/evacuation/doc.go
@@ -1,3 +1,4 @@
-// Package evacuation keeps which data centres' targets are to get nothing new: as the store has it, as
-// another instance tells it, and for a moment longer where the store has come back from an older copy.
+// Package evacuation tracks which data centres are evacuated: their targets get no new requests. It
+// combines what the store holds with what other instances report. If the store is restored from an
+// older copy, evacuations missing there stay in force for a short grace period.
 package evacuation
--- a/evacuation/record.go
+++ b/evacuation/record.go
@@ -10,120 +10,123 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-// doubtTime is how long an evacuation holds on that the store lacks since it came back from an older
-// copy: the operator may have to order it again.
-const doubtTime = 5 * time.Second
+// rollbackGrace is how long an evacuation stays in force after the store was restored from an older
+// copy that lacks it. The operator may have to order the evacuation again.
+const rollbackGrace = 5 * time.Second
 
-// fromSource stands for the store where it is told who told something.
-const fromSource = "source"
+// storeSource names the store as the source of an update in logs.
+const storeSource = "source"
 
-// Record is which data centres are evacuated. Fields are set before use. It is safe for concurrent
-// use.
+// Record tracks the evacuated data centres. Its exported fields must be set before use. It is safe for
+// concurrent use.
 type Record struct {
 	Clock shelfshelf.Clock
 	Log   *log.Logger
-	// Changed is called, outside locks, with the data centres that are evacuated after they have
-	// changed.
+	// Changed is called without locks held whenever the set of evacuated data centres has changed,
+	// with the new set.
 	Changed func(evacuated []shelfshelf.DataCentre)
 
 	mu sync.Mutex
-	// listed are those of the store as of asOf, and doubted those that an older copy lacks, each
-	// with when it is given up.
-	listed  []shelfshelf.DataCentre
-	doubted map[shelfshelf.DataCentre]time.Time
-	asOf    uint64
-	// told is what Changed was called with last.
-	told []shelfshelf.DataCentre
+	// stored holds the evacuations in the store as of position asOf. retained holds those that an
+	// older copy of the store lacks, each with the time at which it expires.
+	stored   []shelfshelf.DataCentre
+	retained map[shelfshelf.DataCentre]time.Time
+	asOf     uint64
+	// reported is the set last passed to Changed.
+	reported []shelfshelf.DataCentre
 }
 
-// Known reports that it is known which data centres are evacuated.
+// Known reports whether any information about evacuations has been received.
 func (r *Record) Known() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.asOf > 0
 }
 
-// Read takes what a read of the store has brought. Who reads changes has read or heard all up to where
-// they begin.
+// Read applies the result of reading the store. An incremental update must start at or before the
+// position up to which the caller has already applied updates, through Read or Heard.
 func (r *Record) Read(update shelfshelf.EvacuationUpdate) {
-	r.take(update, fromSource)
+	r.apply(update, storeSource)
 }
 
-// Heard takes what another instance knows.
-func (r *Record) Heard(told shelfshelf.Evacuated, from string) {
-	r.take(shelfshelf.EvacuationUpdate{Whole: true, Begun: told.DataCentres, AsOf: told.AsOf}, from)
+// Heard applies the state received from another instance.
+func (r *Record) Heard(known shelfshelf.Evacuated, from string) {
+	r.apply(shelfshelf.EvacuationUpdate{Whole: true, Begun: known.DataCentres, AsOf: known.AsOf}, from)
 }
 
-// take takes what is newer.
-func (r *Record) take(update shelfshelf.EvacuationUpdate, from string) {
+// apply applies an update if it is newer than the current state.
+func (r *Record) apply(update shelfshelf.EvacuationUpdate, from string) {
 	r.mu.Lock()
 	if update.AsOf <= r.asOf {
 		r.mu.Unlock()
 		return
 	}
-	listed := slices.Clone(update.Begun)
+	stored := slices.Clone(update.Begun)
 	if !update.Whole {
-		listed = append(listed, slices.DeleteFunc(slices.Clone(r.listed), func(centre shelfshelf.DataCentre) bool {
+		stored = append(stored, slices.DeleteFunc(slices.Clone(r.stored), func(centre shelfshelf.DataCentre) bool {
 			return slices.Contains(update.Ended, centre)
 		})...)
 	}
 	if r.asOf > 0 && shelfshelf.EraOf(update.AsOf) > shelfshelf.EraOf(r.asOf) {
-		r.doubt(listed)
+		r.retainMissing(stored)
 	}
-	slices.Sort(listed)
-	r.listed = slices.Compact(listed)
+	slices.Sort(stored)
+	r.stored = slices.Compact(stored)
 	r.asOf = update.AsOf
 	r.mu.Unlock()
-	r.report(from)
+	r.notifyIfChanged(from)
 }
 
-// doubt keeps for a while what an older copy lacks; the lock is held.
-func (r *Record) doubt(copied []shelfshelf.DataCentre) {
-	until := r.Clock.Now().Add(doubtTime)
-	for _, centre := range r.listed {
-		if slices.Contains(copied, centre) {
+// retainMissing keeps the current evacuations that the restored copy lacks until the grace period
+// ends. The caller must hold the lock.
+func (r *Record) retainMissing(restored []shelfshelf.DataCentre) {
+	expiry := r.Clock.Now().Add(rollbackGrace)
+	for _, centre := range r.stored {
+		if slices.Contains(restored, centre) {
 			continue
 		}
-		if r.doubted == nil {
-			r.doubted = make(map[shelfshelf.DataCentre]time.Time)
+		if r.retained == nil {
+			r.retained = make(map[shelfshelf.DataCentre]time.Time)
 		}
-		r.doubted[centre] = until
+		r.retained[centre] = expiry
 	}
 }
 
-// Told returns what this instance tells the others: what the store has. It is asked for many times a
-// second, so that doubts end here.
+// Told returns the state to send to other instances: the store's state, without retained evacuations.
+// It is called many times a second, so it also serves to expire retained evacuations.
 func (r *Record) Told() shelfshelf.Evacuated {
-	r.report(fromSource)
+	r.notifyIfChanged(storeSource)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return shelfshelf.Evacuated{DataCentres: r.listed, AsOf: r.asOf}
+	return shelfshelf.Evacuated{DataCentres: r.stored, AsOf: r.asOf}
 }
 
-// evacuated returns the data centres whose targets get nothing new; the lock is held.
-func (r *Record) evacuated() []shelfshelf.DataCentre {
-	if len(r.doubted) == 0 {
-		return r.listed
+// effective returns the data centres whose targets get no new requests, and drops expired retained
+// evacuations. The caller must hold the lock.
+func (r *Record) effective() []shelfshelf.DataCentre {
+	if len(r.retained) == 0 {
+		return r.stored
 	}
 	now := r.Clock.Now()
-	all := slices.Clone(r.listed)
-	for centre, until := range r.doubted {
-		if now.Before(until) {
+	all := slices.Clone(r.stored)
+	for centre, expiry := range r.retained {
+		if now.Before(expiry) {
 			all = append(all, centre)
 		} else {
-			delete(r.doubted, centre)
+			delete(r.retained, centre)
 		}
 	}
 	slices.Sort(all)
 	return slices.Compact(all)
 }
 
-// report tells of a change, outside the lock.
-func (r *Record) report(from string) {
+// notifyIfChanged calls Changed if the set of evacuated data centres has changed. The caller must not
+// hold the lock.
+func (r *Record) notifyIfChanged(from string) {
 	r.mu.Lock()
-	evacuated := r.evacuated()
-	changed := !slices.Equal(evacuated, r.told)
-	r.told = evacuated
+	evacuated := r.effective()
+	changed := !slices.Equal(evacuated, r.reported)
+	r.reported = evacuated
 	asOf := r.asOf
 	r.mu.Unlock()
 	if !changed {
@@ -133,9 +136,9 @@
 	r.Changed(evacuated)
 }
 
-// Evacuated returns how many data centres are evacuated.
+// Evacuated returns the number of evacuated data centres.
 func (r *Record) Evacuated() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.told)
+	return len(r.reported)
 }
--- a/evacuation/record_test.go
+++ b/evacuation/record_test.go
@@ -13,55 +13,57 @@
 	"github.com/shelfshelf/shelfshelf/evacuation"
 )
 
-// newRecord returns a record and what it told last.
-func newRecord() (record *evacuation.Record, clock *clockwork.FakeClock, told *[]shelfshelf.DataCentre) {
+// newRecord returns a record, its clock and the set that it last reported.
+func newRecord() (record *evacuation.Record, clock *clockwork.FakeClock, reported *[]shelfshelf.DataCentre) {
 	clock = clockwork.NewFakeClock()
-	told = new([]shelfshelf.DataCentre)
+	reported = new([]shelfshelf.DataCentre)
 	record = &evacuation.Record{
 		Clock: clock, Log: log.New(io.Discard),
-		Changed: func(evacuated []shelfshelf.DataCentre) { *told = evacuated },
+		Changed: func(evacuated []shelfshelf.DataCentre) { *reported = evacuated },
 	}
-	return record, clock, told
+	return record, clock, reported
 }
 
-// What is newer by the store's version counts, whoever tells it and however late.
-func TestTheNewestWordCounts(t *testing.T) {
-	record, _, told := newRecord()
+// The update with the highest store position wins, whichever source it comes from and however late it
+// arrives.
+func TestNewestVersionWins(t *testing.T) {
+	record, _, reported := newRecord()
 	check := func(what string, want ...shelfshelf.DataCentre) {
 		t.Helper()
-		if !slices.Equal(*told, want) {
-			t.Errorf("%s: %v, not %v", what, *told, want)
+		if !slices.Equal(*reported, want) {
+			t.Errorf("%s: %v, not %v", what, *reported, want)
 		}
 	}
 	if record.Known() {
-		t.Error("known before anybody has told")
+		t.Error("known before the first update")
 	}
 	record.Heard(shelfshelf.Evacuated{DataCentres: []shelfshelf.DataCentre{"b", "a"}, AsOf: 10}, "other")
-	check("the first word", "a", "b")
+	check("first update", "a", "b")
 	record.Read(shelfshelf.EvacuationUpdate{Whole: true, Begun: []shelfshelf.DataCentre{"c"}, AsOf: 9})
-	check("an older read", "a", "b")
+	check("older read", "a", "b")
 	record.Read(shelfshelf.EvacuationUpdate{Begun: []shelfshelf.DataCentre{"c"}, Ended: []shelfshelf.DataCentre{"a"}, AsOf: 12})
-	check("changes", "b", "c")
+	check("incremental update", "b", "c")
 	record.Heard(shelfshelf.Evacuated{DataCentres: []shelfshelf.DataCentre{"a"}, AsOf: 12}, "other")
-	check("the same version", "b", "c")
+	check("same version", "b", "c")
 	record.Read(shelfshelf.EvacuationUpdate{Whole: true, AsOf: 13})
-	check("a whole read without any")
+	check("complete read without evacuations")
 	if got := record.Told(); got.AsOf != 13 || len(got.DataCentres) != 0 || !record.Known() {
 		t.Errorf("%+v", got)
 	}
 }
 
-// What an older copy of the store lacks holds for some seconds more, and is told to nobody.
-func TestOlderCopiesEndNothingAtOnce(t *testing.T) {
-	record, clock, told := newRecord()
+// Evacuations missing from a restored older copy of the store stay in force for a grace period, and
+// are not sent to other instances.
+func TestRestoredStoreEndsEvacuationsAfterGracePeriod(t *testing.T) {
+	record, clock, reported := newRecord()
 	record.Read(shelfshelf.EvacuationUpdate{Whole: true, Begun: []shelfshelf.DataCentre{"a"}, AsOf: 10})
 	record.Read(shelfshelf.EvacuationUpdate{Whole: true, AsOf: shelfshelf.PositionOf(1, 5)})
-	if !slices.Equal(*told, []shelfshelf.DataCentre{"a"}) || len(record.Told().DataCentres) != 0 {
-		t.Errorf("%v, told %+v", *told, record.Told())
+	if !slices.Equal(*reported, []shelfshelf.DataCentre{"a"}) || len(record.Told().DataCentres) != 0 {
+		t.Errorf("reported %v, sent to others %+v", *reported, record.Told())
 	}
 	clock.Advance(6 * time.Second)
 	record.Told()
-	if len(*told) != 0 {
-		t.Errorf("%v", *told)
+	if len(*reported) != 0 {
+		t.Errorf("%v", *reported)
 	}
 }
--- a/retrybudget/budget.go
+++ b/retrybudget/budget.go
@@ -8,100 +8,101 @@
 )
 
 const (
-	// slots divide the window; a count leaves it a slot at a time.
-	slots = 20
-	// kept is how many slots are counted: one more, so that they span a whole window
-	// although the newest has only begun.
-	kept = slots + 1
-	// safety is the part of what is allowed that is used: instances restart with empty
-	// counts, and the window at the targets begins at other moments.
-	safety = 0.6
+	// windowSlots is the number of slots that the window is divided into. Counts expire one slot at a
+	// time.
+	windowSlots = 20
+	// countedSlots is the number of slots that are counted. It is one more than windowSlots, because
+	// the newest slot is only partly over and the counts must cover a whole window.
+	countedSlots = windowSlots + 1
+	// safetyFactor is the part of the allowance that is used. It leaves room for instances that
+	// restart with empty counts, and for targets whose windows start at other times.
+	safetyFactor = 0.6
 )
 
-// Limits bound repeats over all instances together.
+// Limits bounds the retries of all instances together.
 type Limits struct {
-	// Ratio times the requests of the window, and Slack in all, may be repeats.
+	// The retries within a window may not exceed Ratio times the requests plus Slack.
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
 }
 
-// Budget counts requests and their repeats by pool. Fields are set before use. It
-// is safe for concurrent use.
+// Budget counts requests and retries by pool. Its exported fields must be set before use. It is safe
+// for concurrent use.
 type Budget struct {
 	Clock  shelfshelf.Clock
 	Limits Limits
-	// Instances returns how many instances share the slack.
+	// Instances returns the number of instances that share the slack.
 	Instances func() int
 
-	mu    sync.Mutex
-	start time.Time
-	pools map[shelfshelf.PoolName]*counts
+	mu           sync.Mutex
+	start        time.Time
+	countsByPool map[shelfshelf.PoolName]*poolCounts
 }
 
-type counts struct {
-	requests [kept]int
-	repeats  [kept]int
-	// newest is the number of the newest slot since the first use.
-	newest int64
+type poolCounts struct {
+	requests [countedSlots]int
+	retries  [countedSlots]int
+	// newestSlot is the number of the newest slot, counted since the budget was first used.
+	newestSlot int64
 }
 
-// SetLimits replaces the limits; another window starts the counts anew.
+// SetLimits replaces the limits. A change of the window resets all counts.
 func (b *Budget) SetLimits(limits Limits) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if limits.Window != b.Limits.Window {
-		b.pools = nil
+		b.countsByPool = nil
 	}
 	b.Limits = limits
 }
 
-// Request counts a request's first sending to a pool.
+// Request counts the first attempt of a request to a pool.
 func (b *Budget) Request(pool shelfshelf.PoolName) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	c := b.counts(pool)
-	c.requests[c.newest%kept]++
+	c := b.currentCounts(pool)
+	c.requests[c.newestSlot%countedSlots]++
 }
 
-// Take counts a repeat and returns true, or returns false if there are too many.
+// Take counts a retry and returns true, or returns false if the budget is exhausted.
 func (b *Budget) Take(pool shelfshelf.PoolName) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	c := b.counts(pool)
-	requests, repeats := 0, 0
-	for i := range kept {
+	c := b.currentCounts(pool)
+	requests, retries := 0, 0
+	for i := range countedSlots {
 		requests += c.requests[i]
-		repeats += c.repeats[i]
+		retries += c.retries[i]
 	}
 	instances := float64(max(b.Instances(), 1))
-	allowed := safety * (b.Limits.Ratio*float64(requests) + b.Limits.Slack/instances)
-	if float64(repeats+1) > allowed {
+	allowed := safetyFactor * (b.Limits.Ratio*float64(requests) + b.Limits.Slack/instances)
+	if float64(retries+1) > allowed {
 		return false
 	}
-	c.repeats[c.newest%kept]++
+	c.retries[c.newestSlot%countedSlots]++
 	return true
 }
 
-// counts returns a pool's counts without those that have left the window; the
-// lock is held.
-func (b *Budget) counts(pool shelfshelf.PoolName) *counts {
-	if b.pools == nil {
-		b.pools = make(map[shelfshelf.PoolName]*counts)
+// currentCounts returns a pool's counts after clearing the slots that have left the window. The caller
+// must hold the lock.
+func (b *Budget) currentCounts(pool shelfshelf.PoolName) *poolCounts {
+	if b.countsByPool == nil {
+		b.countsByPool = make(map[shelfshelf.PoolName]*poolCounts)
 		b.start = b.Clock.Now()
 	}
-	now := int64(b.Clock.Now().Sub(b.start) / (b.Limits.Window / slots))
-	c := b.pools[pool]
+	currentSlot := int64(b.Clock.Now().Sub(b.start) / (b.Limits.Window / windowSlots))
+	c := b.countsByPool[pool]
 	if c == nil {
-		c = &counts{newest: now}
-		b.pools[pool] = c
+		c = &poolCounts{newestSlot: currentSlot}
+		b.countsByPool[pool] = c
 	}
-	for c.newest < now {
-		c.newest++
-		c.requests[c.newest%kept] = 0
-		c.repeats[c.newest%kept] = 0
-		if now-c.newest > kept {
-			c.newest = now - kept
+	for c.newestSlot < currentSlot {
+		c.newestSlot++
+		c.requests[c.newestSlot%countedSlots] = 0
+		c.retries[c.newestSlot%countedSlots] = 0
+		if currentSlot-c.newestSlot > countedSlots {
+			c.newestSlot = currentSlot - countedSlots
 		}
 	}
 	return c
--- a/retrybudget/budget_test.go
+++ b/retrybudget/budget_test.go
@@ -10,9 +10,9 @@
 	"github.com/shelfshelf/shelfshelf/retrybudget"
 )
 
-// All instances together stay within the ratio and the slack in every window,
-// though they say nothing of it to each other.
-func TestInstancesTogetherKeepTheBudget(t *testing.T) {
+// The retries of all instances together stay within the ratio and the slack in every window, although
+// the instances don't communicate.
+func TestCombinedRetriesStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := clockwork.NewFakeClock()
 		limits := retrybudget.Limits{
@@ -20,34 +20,34 @@
 			Slack:  rapid.Float64Range(0, 100).Draw(t, "slack"),
 			Window: 10 * time.Second,
 		}
-		size := rapid.IntRange(1, 8).Draw(t, "instances")
+		instances := rapid.IntRange(1, 8).Draw(t, "instances")
 		var budgets []*retrybudget.Budget
-		for range size {
-			budgets = append(budgets, &retrybudget.Budget{Clock: clock, Limits: limits, Instances: func() int { return size }})
+		for range instances {
+			budgets = append(budgets, &retrybudget.Budget{Clock: clock, Limits: limits, Instances: func() int { return instances }})
 		}
 		const step = 100 * time.Millisecond
-		var requests, repeats []int
+		var requests, retries []int
 		for range 300 {
-			asked, taken := 0, 0
+			sent, retried := 0, 0
 			for range rapid.IntRange(0, 20).Draw(t, "requests") {
-				b := budgets[rapid.IntRange(0, size-1).Draw(t, "at")]
+				b := budgets[rapid.IntRange(0, instances-1).Draw(t, "at")]
 				b.Request("p")
-				asked++
+				sent++
 				if b.Take("p") {
-					taken++
+					retried++
 				}
 			}
-			requests, repeats = append(requests, asked), append(repeats, taken)
+			requests, retries = append(requests, sent), append(retries, retried)
 			clock.Advance(step)
 		}
-		const span = int(10 * time.Second / step)
-		for end := span; end <= len(repeats); end++ {
-			taken := sum(repeats, end-span, end)
-			// The requests of earlier windows count where they were more: a repeat may
-			// come at the end of the requests that it was allowed for.
-			most := max(sum(requests, end-span, end), sum(requests, end-span*3/2, end-span/2), sum(requests, end-2*span, end-span))
-			if float64(taken) > limits.Ratio*float64(most)+limits.Slack {
-				t.Fatalf("%d repeats of %d requests", taken, most)
+		const windowSteps = int(10 * time.Second / step)
+		for end := windowSteps; end <= len(retries); end++ {
+			retried := sum(retries, end-windowSteps, end)
+			// Earlier windows with more requests count too: a retry may be sent when the requests that
+			// permit it have almost left the window.
+			mostRequests := max(sum(requests, end-windowSteps, end), sum(requests, end-windowSteps*3/2, end-windowSteps/2), sum(requests, end-2*windowSteps, end-windowSteps))
+			if float64(retried) > limits.Ratio*float64(mostRequests)+limits.Slack {
+				t.Fatalf("%d retries of %d requests", retried, mostRequests)
 			}
 		}
 	})
@@ -61,13 +61,13 @@
 	return total
 }
 
-func TestPoolsHaveTheirOwnBudget(t *testing.T) {
+func TestPoolsHaveSeparateBudgets(t *testing.T) {
 	b := &retrybudget.Budget{
 		Clock:     clockwork.NewFakeClock(),
 		Limits:    retrybudget.Limits{Slack: 2, Window: 10 * time.Second},
 		Instances: func() int { return 1 },
 	}
 	if !b.Take("p") || b.Take("p") || !b.Take("q") {
-		t.Error("the pools share a budget, or the slack is wrong")
+		t.Error("pools share a budget, or the slack is wrong")
 	}
 }
--- a/retrybudget/doc.go
+++ b/retrybudget/doc.go
@@ -1,4 +1,4 @@
-// Package retrybudget bounds how often requests are sent again, over all instances
-// together and without a word between them: each instance may add a part of the
-// requests that it has seen itself, and its share of what is allowed beyond.
+// Package retrybudget limits how often requests are retried. The limit applies to all instances
+// together, but needs no communication between them: each instance may retry a fraction of the
+// requests that it has sent itself, plus its share of a fixed allowance.
 package retrybudget
