--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -8,31 +8,31 @@
 	"github.com/shelfshelf/shelfshelf/upstream"
 )
 
-// heldBack refuses a request that ends whatever runs it, at whichever instance and under
-// whichever id it comes again: one request had ended 22 engines within 14 s, each with up to
-// six streams beside it.
-func (c *request) heldBack() *refusal {
+// checkQuarantine refuses a request that keeps crashing the targets that run it, no matter which
+// instance receives it or which ID a retry has. Without it, one request ended 22 engines within 14 s,
+// each with up to six other streams.
+func (c *request) checkQuarantine() *refusal {
 	hold, held := c.server.Crashes.Held(c.fingerprint, c.call.ID)
 	if !held {
 		return nil
 	}
-	c.server.Metrics.heldBack()
-	return c.giveUp(fmt.Sprintf("held back: %d targets have ended under this request", hold.Ends), hold.Left)
+	c.server.Metrics.countQuarantined()
+	return c.refusalFor(fmt.Sprintf("held back: %d targets have ended under this request", hold.Ends), hold.Left)
 }
 
-// broken has it looked into whether a target has ended, where its answer broke off and it
-// was neither this side nor the caller that gave up.
-func (c *request) broken(lease *balance.Lease, err error) {
-	if c.http.Context().Err() != nil {
+// checkForCrash asks the witness to check whether the target's process has ended, if the exchange
+// broke off and neither this instance nor the caller ended it.
+func (c *request) checkForCrash(lease *balance.Lease, err error) {
+	if c.incoming.Context().Err() != nil {
 		return
 	}
-	silent := errors.Is(err, errSilent) && !c.over()
-	if silent || upstream.ClosedByTarget(err) {
+	timedOut := errors.Is(err, errIdleTimeout) && !c.expired()
+	if timedOut || upstream.ClosedByTarget(err) {
 		c.server.Witness.Broken(lease.Target, c.fingerprint)
 	}
 }
 
-// outlived notes that a target came to the end of this request, with whatever answer.
-func (c *request) outlived() {
+// recordSurvived records that a target handled this request to the end, with any status.
+func (c *request) recordSurvived() {
 	c.server.Crashes.Outlived(c.fingerprint)
 }
--- a/gateway/doc.go
+++ b/gateway/doc.go
@@ -1,11 +1,11 @@
-// Package gateway takes callers' requests for the routes of a configuration, by
-// host and path, and carries each to a target and its answer back.
+// Package gateway is the HTTP reverse proxy for callers' requests. It finds the route of a request by
+// host and path, sends the request to a target and returns the target's response.
 //
-//	caller -> route, key, limit -> balance -> upstream -> target
-//	caller <- whole answer, or events as they come <-----
+//	caller -> route, key, quota -> balance -> upstream -> target
+//	caller <- complete response, or events as they arrive <-----
 //
-// A plain answer is read whole before the first byte goes to the caller, so that
-// a broken one can be asked for again where the route allows it. A stream's head
-// goes out with its first event; after that a break is mended, on routes that
-// allow it, by another target that goes on after the last whole event.
+// A plain response, that is one that is not a stream of events, is read completely before its first
+// byte is sent to the caller, so that a broken one can be retried if the route allows it. The header
+// of a stream is sent with its first event. If a stream breaks after that, another target can resume
+// it after the last complete event, if the route allows it.
 package gateway
--- a/gateway/events.go
+++ b/gateway/events.go
@@ -7,64 +7,64 @@
 )
 
 const (
-	// readBytes is how much of a stream is read at once.
-	readBytes = 4 << 10
-	// maxEvent bounds one event, in bytes.
-	maxEvent = 1 << 20
+	// readChunkBytes is the size of one read from a stream.
+	readChunkBytes = 4 << 10
+	// maxEventBytes is the maximum size of one event.
+	maxEventBytes = 1 << 20
 )
 
 var errEventTooLong = errors.New("an event is too long")
 
-// eventReader cuts a stream of events into whole ones.
+// eventReader splits a stream of server-sent events into complete events.
 type eventReader struct {
-	source io.Reader
-	buffer []byte
-	end    error
+	source  io.Reader
+	buffer  []byte
+	readErr error
 }
 
-// event is one whole event as it came, its empty line included.
+// event is one complete event as received, including the empty line that ends it.
 type event struct {
 	raw []byte
 	id  string
 }
 
-// next returns the next whole event, and io.EOF at the end of the stream. A stream
-// that ends within an event is broken.
+// next returns the next complete event, or io.EOF at the end of the stream. A stream that ends within
+// an event gives io.ErrUnexpectedEOF.
 func (r *eventReader) next() (event, error) {
 	for {
-		if size := eventSize(r.buffer); size > 0 {
+		if size := firstEventSize(r.buffer); size > 0 {
 			raw := r.buffer[:size:size]
 			r.buffer = r.buffer[size:]
 			return event{raw: raw, id: eventID(raw)}, nil
 		}
-		if r.end == io.EOF && len(bytes.TrimSpace(r.buffer)) > 0 {
+		if r.readErr == io.EOF && len(bytes.TrimSpace(r.buffer)) > 0 {
 			return event{}, io.ErrUnexpectedEOF
 		}
-		if r.end != nil {
-			return event{}, r.end
+		if r.readErr != nil {
+			return event{}, r.readErr
 		}
-		if len(r.buffer) > maxEvent {
+		if len(r.buffer) > maxEventBytes {
 			return event{}, errEventTooLong
 		}
-		chunk := make([]byte, readBytes)
+		chunk := make([]byte, readChunkBytes)
 		n, err := r.source.Read(chunk)
 		r.buffer = append(r.buffer, chunk[:n]...)
-		r.end = err
+		r.readErr = err
 	}
 }
 
-// eventSize returns the length of the first whole event; 0 if there is none.
-func eventSize(buffer []byte) int {
+// firstEventSize returns the length of the first complete event, or 0 if there is none.
+func firstEventSize(buffer []byte) int {
 	size := 0
-	for _, blank := range [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")} {
-		if at := bytes.Index(buffer, blank); at >= 0 && (size == 0 || at+len(blank) < size) {
-			size = at + len(blank)
+	for _, terminator := range [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")} {
+		if at := bytes.Index(buffer, terminator); at >= 0 && (size == 0 || at+len(terminator) < size) {
+			size = at + len(terminator)
 		}
 	}
 	return size
 }
 
-// eventID returns the value of an event's id field; empty if it has none.
+// eventID returns the value of the event's id field, or an empty string if it has none.
 func eventID(raw []byte) string {
 	for line := range bytes.Lines(raw) {
 		if value, found := bytes.CutPrefix(line, []byte("id:")); found {
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -9,27 +9,27 @@
 	"github.com/shelfshelf/shelfshelf/transfer"
 )
 
-// Metrics counts what became of requests.
+// Metrics holds the gateway's metrics and those that other parts of the process register with it.
 type Metrics struct {
 	set *metrics.Set
 }
 
-// NewMetrics returns empty counters.
+// NewMetrics returns an empty set of metrics.
 func NewMetrics() *Metrics {
 	return &Metrics{set: metrics.NewSet()}
 }
 
-// Gauge adds a figure that is read when the metrics are.
+// Gauge registers a gauge whose value is read whenever the metrics are written.
 func (m *Metrics) Gauge(name string, read func() float64) {
 	m.set.NewGauge(name, read)
 }
 
-// Write writes the metrics as text.
+// Write writes the metrics in the Prometheus text format.
 func (m *Metrics) Write(w io.Writer) {
 	m.set.WritePrometheus(w)
 }
 
-// Fetched counts a fetch from another instance by what was fetched.
+// Fetched records a fetch of one kind of data from another instance.
 func (m *Metrics) Fetched(kind string, progress transfer.Progress, ok bool) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`shelf_fetches_total{kind=%q,ok="%t"}`, kind, ok)).Inc()
 	m.set.GetOrCreateCounter(fmt.Sprintf(`shelf_fetched_bytes_total{kind=%q,ok="%t"}`, kind, ok)).AddInt64(progress.Bytes)
@@ -41,15 +41,15 @@
 	m.set.GetOrCreateCounter(fmt.Sprintf(`shelf_store_calls_total{call=%q,table=%q,answered="%t"}`, call, table, answered)).Inc()
 }
 
-func (m *Metrics) attemptFailed() {
+func (m *Metrics) countFailedAttempt() {
 	m.set.GetOrCreateCounter("shelf_attempts_failed_total").Inc()
 }
 
-func (m *Metrics) heldBack() {
+func (m *Metrics) countQuarantined() {
 	m.set.GetOrCreateCounter("shelf_requests_held_back_total").Inc()
 }
 
-// observe counts one request by route and status, with its times.
+// observe counts a finished request by route and status, and records its durations.
 func (m *Metrics) observe(c *request) {
 	route := "none"
 	if c.route != nil {
@@ -61,8 +61,8 @@
 	if !c.firstByte.IsZero() {
 		m.set.GetOrCreateHistogram(fmt.Sprintf(`shelf_first_byte_seconds{route=%q}`, route)).Update(c.firstByte.Sub(c.arrived).Seconds())
 	}
-	m.set.GetOrCreateHistogram(`shelf_wait_seconds`).Update(c.waited.Seconds())
-	if c.resumed > 0 {
-		m.set.GetOrCreateCounter("shelf_streams_resumed_total").Add(c.resumed)
+	m.set.GetOrCreateHistogram(`shelf_wait_seconds`).Update(c.queueTime.Seconds())
+	if c.resumptions > 0 {
+		m.set.GetOrCreateCounter("shelf_streams_resumed_total").Add(c.resumptions)
 	}
 }
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -14,158 +14,157 @@
 )
 
 const (
-	// maxAnswer bounds a plain answer, in bytes.
-	maxAnswer = 8 << 20
-	// patienceFactor times the expected time is how long a call that may be repeated
-	// waits for one target, within the two bounds below.
-	patienceFactor = 8
-	// leastPatience is the least of it, and patienceShare the largest part of the time
-	// left.
-	leastPatience = 120 * time.Millisecond
-	patienceShare = 0.5
+	// maxResponseBytes is the maximum size of a plain response.
+	maxResponseBytes = 8 << 20
+	// attemptTimeoutFactor times the expected time is the timeout of one attempt of a retryable
+	// request, within the two limits below.
+	attemptTimeoutFactor = 8
+	// minAttemptTimeout is the lower limit of that timeout. maxAttemptTimeoutShare is the upper limit,
+	// as a fraction of the time left.
+	minAttemptTimeout      = 120 * time.Millisecond
+	maxAttemptTimeoutShare = 0.5
 )
 
-// plainAnswer is a target's whole answer.
-type plainAnswer struct {
+// plainResponse is a target's complete response.
+type plainResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// servePlain carries a call whose answer is read whole.
+// servePlain serves a request whose response is read completely before it is sent to the caller.
 func (c *request) servePlain() {
-	var failure *plainAnswer
+	var lastFailure *plainResponse
 	for {
-		lease, refused := c.place()
+		lease, refused := c.acquireLease()
 		if refused != nil {
-			c.endPlain(failure, refused)
+			c.writeFailure(lastFailure, refused)
 			return
 		}
-		answer, err := c.attemptPlain(lease)
+		whole, err := c.attemptPlain(lease)
 		if err == nil {
-			c.writePlain(answer)
+			c.writeResponse(whole)
 			return
 		}
-		if answer != nil {
-			failure = answer
+		if whole != nil {
+			lastFailure = whole
 		}
-		c.avoid = append(c.avoid, lease.Target.Name)
-		if !c.repeatable() || !c.mayRepeat(err) {
-			c.endPlain(failure, c.giveUp(err.Error(), c.comeBack()))
+		c.avoidTargets = append(c.avoidTargets, lease.Target.Name)
+		if !c.retryable() || !c.claimRetry(err) {
+			c.writeFailure(lastFailure, c.refusalFor(err.Error(), c.retryDelay()))
 			return
 		}
 	}
 }
 
-// endPlain answers with the last failure that a target gave itself, else with a
-// refusal.
-func (c *request) endPlain(failure *plainAnswer, refused *refusal) {
-	if failure != nil {
-		c.writePlain(failure)
+// writeFailure sends the caller the last failure response that came from a target, or else a refusal.
+func (c *request) writeFailure(lastFailure *plainResponse, refused *refusal) {
+	if lastFailure != nil {
+		c.writeResponse(lastFailure)
 		return
 	}
 	c.refuse(refused)
 }
 
-// repeatable reports that a failed request may be sent again.
-func (c *request) repeatable() bool {
+// retryable reports whether a failed request may be sent again.
+func (c *request) retryable() bool {
 	return !c.mayHaveRun || c.route.Repeatable
 }
 
-// attemptPlain sends the call to one target. With an error, the answer is the
-// failure that the target itself gave, if any.
-func (c *request) attemptPlain(lease *balance.Lease) (*plainAnswer, error) {
+// attemptPlain sends the request to one target. If it returns an error, the response is the failure
+// that the target itself sent, if any.
+func (c *request) attemptPlain(lease *balance.Lease) (*plainResponse, error) {
 	began := c.server.Clock.Now()
-	ctx, cancel := context.WithTimeout(c.ctx, c.attemptPatience(lease))
+	ctx, cancel := context.WithTimeout(c.ctx, c.attemptTimeout(lease))
 	defer cancel()
 	response, err := c.send(ctx, lease, "")
 	if errors.Is(err, shelfshelf.ErrNotRun) {
-		lease.Release(balance.Result{Failed: true, Unreachable: !c.over(), Unsent: true})
-		c.attemptFailed(lease, began, err)
+		lease.Release(balance.Result{Failed: true, Unreachable: !c.expired(), Unsent: true})
+		c.recordFailedAttempt(lease, began, err)
 		return nil, err
 	}
-	c.sent++
+	c.sentAttempts++
 	if err != nil {
-		return nil, c.plainFailed(lease, began, err)
+		return nil, c.failPlainAttempt(lease, began, err)
 	}
-	answer, err := readPlain(response)
+	whole, err := readWhole(response)
 	response.Close()
-	if answer != nil {
-		c.holdAnswer(int64(len(answer.body)))
+	if whole != nil {
+		c.addToBuffer(int64(len(whole.body)))
 	}
 	if err != nil {
-		return nil, c.plainFailed(lease, began, err)
+		return nil, c.failPlainAttempt(lease, began, err)
 	}
 	if response.Answer.NotRun {
-		c.turnedAway++
+		c.rejections++
 		lease.Release(balance.Result{Failed: true, Gone: response.Answer.OtherTarget, NotRun: response.Answer.NotRun})
 		err = &statusError{answer: response.Answer}
-		c.attemptFailed(lease, began, err)
+		c.recordFailedAttempt(lease, began, err)
 		return nil, err
 	}
 	c.mayHaveRun = true
-	c.outlived()
-	if answer.status >= http.StatusInternalServerError {
+	c.recordSurvived()
+	if whole.status >= http.StatusInternalServerError {
 		lease.Release(balance.Result{Failed: true})
 		err = &statusError{answer: response.Answer}
-		c.attemptFailed(lease, began, err)
-		return answer, err
+		c.recordFailedAttempt(lease, began, err)
+		return whole, err
 	}
 	lease.Release(balance.Result{})
-	return answer, nil
+	return whole, nil
 }
 
-// plainFailed settles an attempt that may have run and gave no whole answer.
-func (c *request) plainFailed(lease *balance.Lease, began time.Time, err error) error {
+// failPlainAttempt releases the lease of an attempt that gave no complete response and may have run.
+func (c *request) failPlainAttempt(lease *balance.Lease, began time.Time, err error) error {
 	c.mayHaveRun = true
-	gone := c.http.Context().Err() != nil
-	lease.Release(balance.Result{Failed: !gone, Left: gone})
-	c.attemptFailed(lease, began, err)
+	callerGone := c.incoming.Context().Err() != nil
+	lease.Release(balance.Result{Failed: !callerGone, Left: callerGone})
+	c.recordFailedAttempt(lease, began, err)
 	return err
 }
 
-// attemptPatience bounds one attempt, so that time is left for another target.
-func (c *request) attemptPatience(lease *balance.Lease) time.Duration {
-	left := c.left()
-	if !c.route.Repeatable || c.attempts()+1 >= c.route.MaxAttempts {
+// attemptTimeout returns the timeout of one attempt. It leaves time for a retry at another target.
+func (c *request) attemptTimeout(lease *balance.Lease) time.Duration {
+	left := c.timeLeft()
+	if !c.route.Repeatable || c.possibleRuns()+1 >= c.route.MaxAttempts {
 		return left
 	}
-	patience := max(patienceFactor*lease.Expected, leastPatience)
-	return min(patience, time.Duration(patienceShare*float64(left)))
+	timeout := max(attemptTimeoutFactor*lease.Expected, minAttemptTimeout)
+	return min(timeout, time.Duration(maxAttemptTimeoutShare*float64(left)))
 }
 
-func readPlain(response *upstream.Response) (*plainAnswer, error) {
-	body, err := io.ReadAll(io.LimitReader(response, maxAnswer+1))
+func readWhole(response *upstream.Response) (*plainResponse, error) {
+	body, err := io.ReadAll(io.LimitReader(response, maxResponseBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(body) > maxAnswer {
+	if len(body) > maxResponseBytes {
 		return nil, errors.New("the answer is too long")
 	}
-	return &plainAnswer{status: response.Status, header: response.Header, body: body}, nil
+	return &plainResponse{status: response.Status, header: response.Header, body: body}, nil
 }
 
-// writePlain hands a target's answer to the caller as it is.
-func (c *request) writePlain(answer *plainAnswer) {
-	c.status = answer.status
+// writeResponse sends a target's response to the caller unchanged.
+func (c *request) writeResponse(whole *plainResponse) {
+	c.status = whole.status
 	c.result = "answered"
 	c.firstByte = c.server.Clock.Now()
-	c.copyHeader(answer.header)
-	c.writer.Header().Set("Content-Length", strconv.Itoa(len(answer.body)))
-	c.writer.WriteHeader(answer.status)
-	if _, err := c.writer.Write(answer.body); err != nil {
+	c.copyHeader(whole.header)
+	c.writer.Header().Set("Content-Length", strconv.Itoa(len(whole.body)))
+	c.writer.WriteHeader(whole.status)
+	if _, err := c.writer.Write(whole.body); err != nil {
 		c.result = "the caller is gone"
 	}
 }
 
-// copyHeader hands a target's headers on, without those of its connection.
+// copyHeader copies the headers of a target's response, without those that concern its connection.
 func (c *request) copyHeader(from http.Header) {
 	header := c.writer.Header()
 	for name, values := range c.server.Codec.CallerHeader(from) {
 		header[name] = values
 	}
 	if _, set := header["Content-Type"]; !set {
-		// A nil value keeps net/http from guessing one.
+		// A nil value keeps net/http from detecting a content type.
 		header["Content-Type"] = nil
 	}
 	header.Del("Content-Length")
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -19,35 +19,34 @@
 )
 
 const (
-	// waitShare is the part of the goal that a request may wait in line; after that
-	// it is refused early enough for the caller to come back in time.
-	waitShare = 0.22
-	// defaultGoal stands in for a route without one.
-	defaultGoal = time.Second
-	// brokenRetryAfter is what a caller is told when no target could be reached.
-	brokenRetryAfter = 150 * time.Millisecond
-	// maxUnsent is how many targets may be found unreachable before a request is
-	// given up.
-	maxUnsent = 8
-	// maxTurnedAway is the same for targets that say that they did not run it: with limits
-	// known late, one that is full by now may have been chosen, while others have places.
-	// Each such try counts in the budget of repeats.
-	maxTurnedAway = 3
-	// placeTries bounds how often a place is looked for again because a new configuration has
-	// narrowed the regions that the request is bound to while it waited.
-	placeTries = 3
-	// leastLeft is the least time that is worth sending a request with.
-	leastLeft = 20 * time.Millisecond
+	// queueTimeShare is the fraction of the latency goal that a request may wait for a target. After
+	// that it is refused early enough for the caller to retry in time.
+	queueTimeShare = 0.22
+	// defaultLatencyGoal applies to routes without a goal.
+	defaultLatencyGoal = time.Second
+	// unavailableRetryAfter is the Retry-After sent when no target could be reached.
+	unavailableRetryAfter = 150 * time.Millisecond
+	// maxUnsentAttempts is how many targets may be unreachable before the request fails.
+	maxUnsentAttempts = 8
+	// maxRejections is how many targets may respond that they did not run the request before it fails.
+	// Limits are known with a delay, so a target that is full by now may have been chosen while others
+	// have room. Each such retry counts against the retry budget.
+	maxRejections = 3
+	// maxLeaseTries is how often a lease is acquired anew because a new configuration has narrowed the
+	// allowed regions while the request waited.
+	maxLeaseTries = 3
+	// minTimeLeft is the minimum time left for which sending a request is worthwhile.
+	minTimeLeft = 20 * time.Millisecond
 )
 
-// request is one caller's request on its way.
+// request is the state of one caller's request.
 type request struct {
-	server  *Server
-	writer  http.ResponseWriter
-	http    *http.Request
-	ctx     context.Context
-	arrived time.Time
-	// deadline is when the caller or the route gives up.
+	server   *Server
+	writer   http.ResponseWriter
+	incoming *http.Request
+	ctx      context.Context
+	arrived  time.Time
+	// deadline is the earlier of the caller's and the route's deadline.
 	deadline time.Time
 
 	index            *catalog.Index
@@ -57,68 +56,71 @@
 	customer         *shelfshelf.Customer
 	pool             shelfshelf.PoolName
 	body             []byte
-	// held is how many bytes are held for the request.
-	held int64
-	// fingerprint is the same for all tries of this request; 0 until its body is read.
-	fingerprint shelfshelf.Fingerprint
-	tokens      int
-	quota       quota.Verdict
-	// charge is what counts against the customer's limit.
+	// bufferedBytes is the buffer space reserved for the request.
+	bufferedBytes int64
+	// fingerprint is the same for all retries of this request by the caller; 0 until the body is read.
+	fingerprint  shelfshelf.Fingerprint
+	tokens       int
+	quotaVerdict quota.Verdict
+	// charge is the entry counted against the customer's quota.
 	charge quota.Entry
-	// unsent counts attempts that did not reach a target.
-	unsent int
+	// unsentAttempts counts attempts that did not reach a target.
+	unsentAttempts int
 
-	// sent counts the targets that the request was sent to, turnedAway those of them that
-	// said that they did not run it, and mayHaveRun says that one of them may have.
-	sent       int
-	turnedAway int
-	mayHaveRun bool
-	avoid      []shelfshelf.TargetName
-	target     shelfshelf.TargetName
-	waited     time.Duration
-	expected   time.Duration
-	inFlight   int
-	// load is what the target said of itself with its answer.
-	load   shelfshelf.Answer
-	cached int
-	// asked and alone tell who gave the latest place.
-	asked int
-	alone bool
+	// sentAttempts counts the targets that the request was sent to. rejections counts those of them
+	// that responded that they did not run it. mayHaveRun says that at least one of them may have run
+	// it.
+	sentAttempts   int
+	rejections     int
+	mayHaveRun     bool
+	avoidTargets   []shelfshelf.TargetName
+	target         shelfshelf.TargetName
+	queueTime      time.Duration
+	expectedTime   time.Duration
+	targetInFlight int
+	// lastAnswer is the information in the headers of the latest target response.
+	lastAnswer   shelfshelf.Answer
+	cachedTokens int
+	// ownersAsked is how many owners were asked for the latest lease. chosenLocally says that no owner
+	// granted it and this instance chose the target by what it knew.
+	ownersAsked   int
+	chosenLocally bool
 
 	status    int
 	result    string
 	firstByte time.Time
-	// passed counts the events that the caller got.
-	passed int
-	// lastAt is when the last event came, longestPause the longest time between two.
-	lastAt       time.Time
-	longestPause time.Duration
-	resumed      int
-	headWritten  bool
+	// eventsSent counts the events sent to the caller.
+	eventsSent int
+	// lastEventAt is when the last event arrived. longestEventGap is the longest time between two
+	// events.
+	lastEventAt     time.Time
+	longestEventGap time.Duration
+	resumptions     int
+	headerWritten   bool
 }
 
-// refusal is an answer of this system's own.
+// refusal is an error response of the gateway itself.
 type refusal struct {
 	status     int
 	text       string
 	retryAfter time.Duration
 }
 
-// wireProblem is the body of a refusal, as problem details of RFC 9457.
-type wireProblem struct {
+// problemDetails is the body of a refusal, in the format of RFC 9457.
+type problemDetails struct {
 	Title  string `json:"title"`
 	Status int    `json:"status"`
 }
 
-func notRun(status int, text string, retryAfter time.Duration) *refusal {
+func retryableRefusal(status int, text string, retryAfter time.Duration) *refusal {
 	return &refusal{status: status, text: text, retryAfter: max(retryAfter, 50*time.Millisecond)}
 }
 
-func final(status int, text string) *refusal {
+func finalRefusal(status int, text string) *refusal {
 	return &refusal{status: status, text: text}
 }
 
-// refuse writes an answer of this system's own.
+// refuse sends a refusal to the caller.
 func (c *request) refuse(r *refusal) {
 	c.status = r.status
 	c.result = r.text
@@ -127,7 +129,7 @@
 	if r.retryAfter > 0 {
 		header.Set("Retry-After", strconv.FormatFloat(r.retryAfter.Seconds(), 'f', 3, 64))
 	}
-	body, err := json.Marshal(wireProblem{Title: r.text, Status: r.status})
+	body, err := json.Marshal(problemDetails{Title: r.text, Status: r.status})
 	if err != nil {
 		c.server.Log.Error("A refusal can't be encoded.", "request", c.call.ID, "error", err)
 	}
@@ -138,7 +140,7 @@
 	}
 }
 
-// finish settles the limit and logs what became of the request.
+// finish refunds the quota if the request did not run, updates the metrics and logs the result.
 func (c *request) finish() {
 	if !c.mayHaveRun && c.status != http.StatusOK {
 		c.server.Quota.Refund(c.charge)
@@ -152,8 +154,8 @@
 	}
 	if c.route != nil {
 		fields = append(fields, "route", c.route.Name)
-		if homes := c.homes(); homes.Bound {
-			fields = append(fields, "homes", homes.Regions)
+		if allowed := c.allowedRegions(); allowed.Bound {
+			fields = append(fields, "homes", allowed.Regions)
 		}
 	}
 	if c.fingerprint != 0 {
@@ -164,246 +166,245 @@
 			"outputHint", c.call.OutputHint)
 	}
 	if c.status == http.StatusTooManyRequests {
-		fields = append(fields, "allowed", c.quota.Allowed, "used", c.quota.Used, "share", c.quota.Share,
-			"othersSoon", c.quota.Expected, "resting", c.quota.Resting, "retryAfter", c.quota.Wait)
+		fields = append(fields, "allowed", c.quotaVerdict.Allowed, "used", c.quotaVerdict.Used, "share", c.quotaVerdict.Share,
+			"othersSoon", c.quotaVerdict.Expected, "resting", c.quotaVerdict.Resting, "retryAfter", c.quotaVerdict.Wait)
 	}
 	if c.target != "" {
-		fields = append(fields, "target", c.target, "sent", c.sent, "turnedAway", c.turnedAway, "waited", c.waited,
-			"expected", c.expected, "inFlight", c.inFlight, "cached", c.cached, "asked", c.asked, "alone", c.alone)
+		fields = append(fields, "target", c.target, "sent", c.sentAttempts, "turnedAway", c.rejections, "waited", c.queueTime,
+			"expected", c.expectedTime, "inFlight", c.targetInFlight, "cached", c.cachedTokens, "asked", c.ownersAsked, "alone", c.chosenLocally)
 	}
-	if c.load.LoadKnown {
-		fields = append(fields, "targetRunning", c.load.Running, "targetWaiting", c.load.Waiting)
+	if c.lastAnswer.LoadKnown {
+		fields = append(fields, "targetRunning", c.lastAnswer.Running, "targetWaiting", c.lastAnswer.Waiting)
 	}
-	if c.load.Pace > 0 {
-		fields = append(fields, "targetPace", c.load.Pace)
+	if c.lastAnswer.Pace > 0 {
+		fields = append(fields, "targetPace", c.lastAnswer.Pace)
 	}
-	if c.load.Limit.Named {
-		fields = append(fields, "targetLimit", c.load.Limit.PerSecond)
+	if c.lastAnswer.Limit.Named {
+		fields = append(fields, "targetLimit", c.lastAnswer.Limit.PerSecond)
 	}
-	if c.load.Leaving {
+	if c.lastAnswer.Leaving {
 		fields = append(fields, "targetLeaves", true)
 	}
 	if !c.firstByte.IsZero() {
 		fields = append(fields, "first", c.firstByte.Sub(c.arrived))
 	}
-	if c.passed > 0 {
-		fields = append(fields, "events", c.passed, "resumed", c.resumed, "longestPause", c.longestPause)
+	if c.eventsSent > 0 {
+		fields = append(fields, "events", c.eventsSent, "resumed", c.resumptions, "longestPause", c.longestEventGap)
 	}
 	c.server.Log.Info("A request has ended.", fields...)
 }
 
-// goal is the time within which the answer is worth most.
-func (c *request) goal() time.Duration {
+// latencyGoal returns the response time within which a response has its full value.
+func (c *request) latencyGoal() time.Duration {
 	if c.route.Goal > 0 {
 		return c.route.Goal
 	}
-	return defaultGoal
+	return defaultLatencyGoal
 }
 
-// need describes the request to the balancer.
-func (c *request) need() balance.Need {
+// balancerNeed describes the request to the balancer.
+func (c *request) balancerNeed() balance.Need {
 	output := c.call.OutputHint
 	if output == 0 {
 		output = c.call.MaxOutputTokens
 	}
-	wait := time.Duration(waitShare * float64(c.goal()))
+	maxQueueTime := time.Duration(queueTimeShare * float64(c.latencyGoal()))
 	need := balance.Need{
 		ID:           c.call.ID,
 		Pool:         c.pool,
 		Tier:         c.route.Tier,
 		Arrived:      c.arrived,
-		WaitUntil:    c.arrived.Add(wait),
+		WaitUntil:    c.arrived.Add(maxQueueTime),
 		Deadline:     c.deadline,
-		Goal:         c.goal(),
+		Goal:         c.latencyGoal(),
 		Prompt:       c.call.Prompt,
 		PromptTokens: c.call.PromptTokens,
 		OutputTokens: output,
-		Avoid:        c.avoid,
+		Avoid:        c.avoidTargets,
 		Route:        c.route.Name,
 	}
 	if c.customer != nil {
 		need.Rank = c.customer.Rank
 	}
-	if homes := c.homes(); homes.Bound {
-		need.Homes = &homes
+	if allowed := c.allowedRegions(); allowed.Bound {
+		need.Homes = &allowed
 	}
 	now := c.server.Clock.Now()
 	switch {
-	case c.attempts() > 0:
+	case c.possibleRuns() > 0:
 		need.Begun = true
-		need.WaitUntil = now.Add(min(c.goal(), c.left()/2))
-	case c.unsent+c.turnedAway > 0:
-		// The time that such a target took is not the line's.
-		need.WaitUntil = now.Add(wait)
+		need.WaitUntil = now.Add(min(c.latencyGoal(), c.timeLeft()/2))
+	case c.unsentAttempts+c.rejections > 0:
+		// The time spent on failed attempts that did not run doesn't count as waiting time.
+		need.WaitUntil = now.Add(maxQueueTime)
 	}
 	return need
 }
 
-// acquire waits for a place at a target.
-func (c *request) acquire() (*balance.Lease, *refusal) {
+// waitForLease waits until the balancer grants a lease of a target.
+func (c *request) waitForLease() (*balance.Lease, *refusal) {
 	began := c.server.Clock.Now()
-	lease, err := c.server.Balancer.Acquire(c.ctx, c.need())
-	c.waited += c.server.Clock.Now().Sub(began)
+	lease, err := c.server.Balancer.Acquire(c.ctx, c.balancerNeed())
+	c.queueTime += c.server.Clock.Now().Sub(began)
 	if err == nil {
 		c.target = lease.Target.Name
-		c.expected = lease.Expected
-		c.inFlight = lease.InFlight
-		c.cached = lease.CachedTokens
-		c.asked = lease.Asked
-		c.alone = lease.Alone
+		c.expectedTime = lease.Expected
+		c.targetInFlight = lease.InFlight
+		c.cachedTokens = lease.CachedTokens
+		c.ownersAsked = lease.Asked
+		c.chosenLocally = lease.Alone
 		return lease, nil
 	}
 	var refused *balance.Refusal
 	if errors.As(err, &refused) {
-		return nil, c.giveUp(refused.Error(), refused.RetryAfter)
+		return nil, c.refusalFor(refused.Error(), refused.RetryAfter)
 	}
-	return nil, c.giveUp("the time is over before a target was free", brokenRetryAfter)
+	return nil, c.refusalFor("the time is over before a target was free", unavailableRetryAfter)
 }
 
-// place waits for a place at a target and checks that the request may still go there.
-func (c *request) place() (*balance.Lease, *refusal) {
-	for range placeTries {
-		if refused := c.heldBack(); refused != nil {
+// acquireLease waits for a lease and checks that the request may still be sent to its target.
+func (c *request) acquireLease() (*balance.Lease, *refusal) {
+	for range maxLeaseTries {
+		if refused := c.checkQuarantine(); refused != nil {
 			return nil, refused
 		}
-		lease, refused := c.acquire()
+		lease, refused := c.waitForLease()
 		if refused != nil {
 			return nil, refused
 		}
-		if refused := c.maySend(); refused != nil {
+		if refused := c.checkBeforeSend(); refused != nil {
 			lease.Cancel()
 			return nil, refused
 		}
-		if c.homes().Allows(lease.Region) {
+		if c.allowedRegions().Allows(lease.Region) {
 			return lease, nil
 		}
 		lease.Cancel()
 	}
-	return nil, c.giveUp("the regions allowed have changed", brokenRetryAfter)
+	return nil, c.refusalFor("the regions allowed have changed", unavailableRetryAfter)
 }
 
-// comeBack is when the caller of a request that its targets have failed may come back.
-func (c *request) comeBack() time.Duration {
-	return max(brokenRetryAfter, c.server.Balancer.RestLeft(c.need()))
+// retryDelay returns the Retry-After for a request that has failed at its targets.
+func (c *request) retryDelay() time.Duration {
+	return max(unavailableRetryAfter, c.server.Balancer.RestLeft(c.balancerNeed()))
 }
 
-// giveUp is the answer to a request that no target has answered: the promise that
-// it has not run is only made where it is true.
-func (c *request) giveUp(text string, retryAfter time.Duration) *refusal {
+// refusalFor returns the refusal of a request that no target has answered. It says that the request
+// may be retried only if it has certainly not run.
+func (c *request) refusalFor(text string, retryAfter time.Duration) *refusal {
 	if !c.mayHaveRun {
-		return notRun(http.StatusServiceUnavailable, text, retryAfter)
+		return retryableRefusal(http.StatusServiceUnavailable, text, retryAfter)
 	}
-	if c.over() {
-		return final(http.StatusGatewayTimeout, text)
+	if c.expired() {
+		return finalRefusal(http.StatusGatewayTimeout, text)
 	}
-	return final(http.StatusBadGateway, text)
+	return finalRefusal(http.StatusBadGateway, text)
 }
 
-// over reports that the request has no time left or its caller has gone. An
-// attempt's timer and the request's own fire at the same instant in either order, so
-// the context alone doesn't tell.
-func (c *request) over() bool {
-	return c.ctx.Err() != nil || c.left() <= 0
+// expired reports whether the request has no time left or its caller has disconnected. The context
+// alone is not enough: the timers of an attempt and of the request can fire at the same instant in
+// either order.
+func (c *request) expired() bool {
+	return c.ctx.Err() != nil || c.timeLeft() <= 0
 }
 
-// left is the time that a target may take.
-func (c *request) left() time.Duration {
+// timeLeft returns the time until the deadline.
+func (c *request) timeLeft() time.Duration {
 	return c.deadline.Sub(c.server.Clock.Now())
 }
 
-// maySend checks, right before a request goes out, that its key still holds, that no
-// further target has ended under it while it waited, and that time is left.
-func (c *request) maySend() *refusal {
-	if refused := c.heldBack(); refused != nil {
+// checkBeforeSend checks, right before a request is sent, that its key is still valid, that it was not
+// quarantined while it waited, and that enough time is left.
+func (c *request) checkBeforeSend() *refusal {
+	if refused := c.checkQuarantine(); refused != nil {
 		return refused
 	}
-	if !c.route.Public && !c.keysKnown() {
-		return c.giveUp("keys can't be checked: the configuration is too old", leaseRetryAfter)
+	if !c.route.Public && !c.keysTrusted() {
+		return c.refusalFor("keys can't be checked: the configuration is too old", staleKeysRetryAfter)
 	}
-	if c.left() < leastLeft {
-		return c.giveUp("the time is over", brokenRetryAfter)
+	if c.timeLeft() < minTimeLeft {
+		return c.refusalFor("the time is over", unavailableRetryAfter)
 	}
 	return nil
 }
 
 // send sends the request to a target once.
-func (c *request) send(ctx context.Context, lease *balance.Lease, lastEvent string) (*upstream.Response, error) {
+func (c *request) send(ctx context.Context, lease *balance.Lease, lastEventID string) (*upstream.Response, error) {
 	attempt := shelfshelf.Attempt{
 		Target:      lease.Target,
-		Left:        c.left(),
-		LastEventID: lastEvent,
+		Left:        c.timeLeft(),
+		LastEventID: lastEventID,
 	}
 	if c.customer != nil {
 		attempt.Customer = c.customer.Name
 	}
-	if c.sent == 0 {
+	if c.sentAttempts == 0 {
 		c.charge = c.server.Quota.Move(c.charge)
 	}
 	response, err := c.server.Upstream.Send(ctx, lease.Target.Address, upstream.Request{
 		ID:     c.call.ID,
 		To:     lease.Target,
-		Method: c.http.Method,
-		Target: c.http.RequestURI,
-		Host:   c.http.Host,
-		Header: c.server.Codec.AttemptHeader(c.http.Header, attempt),
+		Method: c.incoming.Method,
+		Target: c.incoming.RequestURI,
+		Host:   c.incoming.Host,
+		Header: c.server.Codec.AttemptHeader(c.incoming.Header, attempt),
 		Body:   c.body,
-		Fresh:  c.sent > 0,
+		Fresh:  c.sentAttempts > 0,
 	})
 	if err == nil {
-		c.load = response.Answer
+		c.lastAnswer = response.Answer
 	}
 	return response, err
 }
 
-// mayRepeat reports that the request may go to one more target after a failure.
-// What reached a target counts in the budget of repeats; what didn't is bounded on
-// its own.
-func (c *request) mayRepeat(failure error) bool {
-	if c.over() {
+// claimRetry reports whether the request may be sent to another target after a failure, and counts the
+// retry if so. If the failed attempt reached its target, the retry counts against the retry budget;
+// otherwise only maxUnsentAttempts limits it.
+func (c *request) claimRetry(failure error) bool {
+	if c.expired() {
 		return false
 	}
 	if errors.Is(failure, shelfshelf.ErrNotRun) {
-		c.unsent++
-		return c.unsent < maxUnsent
+		c.unsentAttempts++
+		return c.unsentAttempts < maxUnsentAttempts
 	}
 	var status *statusError
 	if errors.As(failure, &status) && status.answer.NotRun {
-		return c.turnedAway < maxTurnedAway && c.server.Retries.Take(c.pool)
+		return c.rejections < maxRejections && c.server.Retries.Take(c.pool)
 	}
-	return c.attempts() < c.route.MaxAttempts && c.server.Retries.Take(c.pool)
+	return c.possibleRuns() < c.route.MaxAttempts && c.server.Retries.Take(c.pool)
 }
 
-// attempts counts the targets that may have run the request.
-func (c *request) attempts() int {
-	return c.sent - c.turnedAway
+// possibleRuns returns the number of targets that may have run the request.
+func (c *request) possibleRuns() int {
+	return c.sentAttempts - c.rejections
 }
 
-// attemptFailed logs why an attempt failed, and has it looked into whether its target ended.
-func (c *request) attemptFailed(lease *balance.Lease, began time.Time, cause error) {
-	c.server.Metrics.attemptFailed()
+// recordFailedAttempt counts and logs a failed attempt and has a possible crash of its target checked.
+func (c *request) recordFailedAttempt(lease *balance.Lease, began time.Time, cause error) {
+	c.server.Metrics.countFailedAttempt()
 	fields := []any{
 		"request", c.call.ID, "fingerprint", c.fingerprint, "target", lease.Target.Name,
-		"address", lease.Target.Address, "after", c.server.Clock.Now().Sub(began), "sent", c.sent,
-		"mayHaveRun", c.mayHaveRun, "passed", c.passed, "asked", lease.Asked, "alone", lease.Alone, "error", cause,
+		"address", lease.Target.Address, "after", c.server.Clock.Now().Sub(began), "sent", c.sentAttempts,
+		"mayHaveRun", c.mayHaveRun, "passed", c.eventsSent, "asked", lease.Asked, "alone", lease.Alone, "error", cause,
 	}
 	var status *statusError
 	if errors.As(cause, &status) {
 		fields = append(fields, "targetLeaves", status.answer.Leaving, "targetRest", status.answer.Rest)
 	}
 	c.server.Log.Warn("An attempt has failed.", fields...)
-	c.broken(lease, cause)
+	c.checkForCrash(lease, cause)
 }
 
-func hashOf(text string) uint64 {
+func hashString(text string) uint64 {
 	return xxhash.Sum64String(text)
 }
 
-// statusError is a target's answer that counts as a failed attempt.
+// statusError is a target's response that counts as a failed attempt.
 type statusError struct {
 	answer shelfshelf.Answer
 }
 
-// Error names the status.
 func (e *statusError) Error() string {
 	if e.answer.NotRun {
 		return fmt.Sprintf("the target refused with %d", e.answer.Status)
--- a/gateway/request_test.go
+++ b/gateway/request_test.go
@@ -9,19 +9,19 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// What may have run and is over ends with 504, also where the timer of the attempt
-// fires before the one of the request.
-func TestGiveUpTellsWhatIsTrue(t *testing.T) {
+// A request that may have run and has no time left ends with 504, even if the attempt's timer fires
+// before the request's own timer.
+func TestRefusalStatusDependsOnWhetherRequestMayHaveRun(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		mayHaveRun bool
 		left       time.Duration
 		want       int
 	}{
-		"not run":                {false, time.Second, http.StatusServiceUnavailable},
-		"not run, time over":     {false, 0, http.StatusServiceUnavailable},
-		"may have run":           {true, time.Second, http.StatusBadGateway},
-		"may have run, and over": {true, 0, http.StatusGatewayTimeout},
+		"not run":                 {false, time.Second, http.StatusServiceUnavailable},
+		"not run, time over":      {false, 0, http.StatusServiceUnavailable},
+		"may have run":            {true, time.Second, http.StatusBadGateway},
+		"may have run, time over": {true, 0, http.StatusGatewayTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -32,12 +32,12 @@
 				deadline:   clock.Now().Add(c.left),
 				mayHaveRun: c.mayHaveRun,
 			}
-			got := r.giveUp("x", time.Second)
+			got := r.refusalFor("x", time.Second)
 			if got.status != c.want || (got.retryAfter > 0) != (c.want == http.StatusServiceUnavailable) {
 				t.Errorf("%+v", got)
 			}
-			if c.left <= 0 && r.mayRepeat(errSilent) {
-				t.Error("repeated without time")
+			if c.left <= 0 && r.claimRetry(errIdleTimeout) {
+				t.Error("retried with no time left")
 			}
 		})
 	}
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -20,31 +20,33 @@
 )
 
 const (
-	// defaultPatience is how long a caller waits that doesn't say.
-	defaultPatience = 15 * time.Second
-	// defaultMaxBody bounds a body where the configuration doesn't, in bytes.
-	defaultMaxBody = 4 << 20
-	// bodyTimeout bounds the time that a caller takes to send a body.
-	bodyTimeout = 10 * time.Second
-	// startingRetryAfter is what callers are told while no configuration is known.
+	// defaultCallerTimeout applies to callers that don't send a timeout.
+	defaultCallerTimeout = 15 * time.Second
+	// defaultMaxBodyBytes is the maximum body size if the configuration sets none.
+	defaultMaxBodyBytes = 4 << 20
+	// bodyReadTimeout is how long a caller may take to send the body.
+	bodyReadTimeout = 10 * time.Second
+	// startingRetryAfter is the Retry-After sent while no configuration, or not the newest one, is
+	// loaded.
 	startingRetryAfter = 300 * time.Millisecond
-	// stoppingRetryAfter is what callers are told by an instance that ends; another one
-	// serves them at once.
+	// stoppingRetryAfter is the Retry-After sent by an instance that is about to stop. It is short
+	// because another instance can serve the retry at once.
 	stoppingRetryAfter = 50 * time.Millisecond
-	// leaseRetryAfter is what callers are told while keys can't be checked.
-	leaseRetryAfter = time.Second
+	// staleKeysRetryAfter is the Retry-After sent while the configuration is too old to be relied on,
+	// such as for checking keys.
+	staleKeysRetryAfter = time.Second
 )
 
-// Catalog is what the gateway knows of the configuration.
+// Catalog provides the configuration.
 type Catalog interface {
-	// Index returns the configuration in force, or nil, and up to when it is known
-	// to hold.
+	// Index returns the configuration in force, or nil, and the time at which it was last confirmed to
+	// be current.
 	Index() (*catalog.Index, time.Time)
-	// Superseded reports that a newer configuration than the one in force is known of.
+	// Superseded reports whether a newer configuration than the one in force is known to exist.
 	Superseded() bool
 }
 
-// Server carries requests. Fields are set before it is used.
+// Server is the HTTP handler for callers' requests. Its exported fields must be set before use.
 type Server struct {
 	Clock    shelfshelf.Clock
 	Log      *log.Logger
@@ -54,44 +56,42 @@
 	Upstream *upstream.Client
 	Quota    *quota.Ledger
 	Retries  *retrybudget.Budget
-	// Crashes knows under which requests targets have ended, and Witness finds it out.
+	// Crashes records which requests were running when targets crashed. Witness detects such crashes.
 	Crashes *crashes.Record
 	Witness *crashes.Witness
 	Metrics *Metrics
-	// MaxHeld bounds what is held of callers' bodies, over all requests, in bytes; 0 means
-	// unbounded.
+	// MaxHeld limits the bytes buffered for request bodies over all requests; 0 means unlimited.
 	MaxHeld int64
-	// Fit reports that this instance may take connections.
+	// Fit reports whether this instance may accept connections.
 	Fit func() bool
 
-	// keyLease is how old the knowledge of the configuration may be for keys to be
-	// taken; an older one may miss that a key was revoked.
-	keyLease atomic.Int64
-	inFlight atomic.Int64
-	held     held
-	stopping atomic.Bool
-	refusing atomic.Bool
+	// keyLease is the maximum age of the configuration for accepting keys. An older configuration may
+	// still hold a key that has been revoked.
+	keyLease    atomic.Int64
+	inFlight    atomic.Int64
+	buffered    bufferUsage
+	stopping    atomic.Bool
+	refusingAll atomic.Bool
 }
 
-// SetKeyLease sets how old the knowledge of the configuration may be for keys to
-// be taken.
+// SetKeyLease sets the maximum age of the configuration for accepting keys.
 func (s *Server) SetKeyLease(lease time.Duration) {
 	s.keyLease.Store(int64(lease))
 }
 
-// InFlight returns how many requests are being served.
+// InFlight returns the number of requests being served.
 func (s *Server) InFlight() int {
 	return int(s.inFlight.Load())
 }
 
-// Stop makes every further answer close its connection.
+// Stop makes every further response close its connection.
 func (s *Server) Stop() {
 	s.stopping.Store(true)
 }
 
-// RefuseAll refuses every further request: the process ends soon.
+// RefuseAll refuses all further requests. It is called shortly before the process ends.
 func (s *Server) RefuseAll() {
-	s.refusing.Store(true)
+	s.refusingAll.Store(true)
 }
 
 // ServeHTTP serves one request.
@@ -102,10 +102,10 @@
 		// The caller's next connection reaches an instance that can serve it.
 		w.Header().Set("Connection", "close")
 	}
-	c := &request{server: s, writer: w, http: r, arrived: s.Clock.Now()}
+	c := &request{server: s, writer: w, incoming: r, arrived: s.Clock.Now()}
 	defer c.finish()
-	defer c.letGo()
-	c.boundWriting(defaultPatience)
+	defer c.releaseBuffer()
+	c.setWriteDeadline(defaultCallerTimeout)
 	if refusal := c.admit(); refusal != nil {
 		c.refuse(refusal)
 		return
@@ -113,122 +113,122 @@
 	c.serve()
 }
 
-// admit finds the route and the customer and charges the limit.
+// admit finds the route and the customer, reads the body and charges the customer's quota.
 func (c *request) admit() *refusal {
 	s := c.server
-	if s.refusing.Load() {
-		return notRun(http.StatusServiceUnavailable, "this instance is about to end", stoppingRetryAfter)
+	if s.refusingAll.Load() {
+		return retryableRefusal(http.StatusServiceUnavailable, "this instance is about to end", stoppingRetryAfter)
 	}
-	index, at := s.Catalog.Index()
+	index, confirmedAt := s.Catalog.Index()
 	if index == nil {
-		return notRun(http.StatusServiceUnavailable, "no configuration is known yet", startingRetryAfter)
+		return retryableRefusal(http.StatusServiceUnavailable, "no configuration is known yet", startingRetryAfter)
 	}
 	c.index = index
-	c.configurationAge = c.arrived.Sub(at)
-	c.route = index.Route(c.http.Host, c.http.URL.Path)
+	c.configurationAge = c.arrived.Sub(confirmedAt)
+	c.route = index.Route(c.incoming.Host, c.incoming.URL.Path)
 	if c.route == nil {
-		return c.unknown(http.StatusNotFound, "no route")
+		return c.refuseUnknown(http.StatusNotFound, "no route")
 	}
-	call, err := s.Codec.Call(c.http.Header)
+	call, err := s.Codec.Call(c.incoming.Header)
 	c.call = call
 	if err != nil {
-		return final(http.StatusBadRequest, err.Error())
+		return finalRefusal(http.StatusBadRequest, err.Error())
 	}
-	if refused := c.identify(); refused != nil {
+	if refused := c.authenticate(); refused != nil {
 		return refused
 	}
 	if refused := c.readBody(); refused != nil {
 		return refused
 	}
 	c.setDeadline()
-	if refused := c.heldBack(); refused != nil {
+	if refused := c.checkQuarantine(); refused != nil {
 		return refused
 	}
-	return c.checkLimit()
+	return c.chargeQuota()
 }
 
-// identify finds the holder of the key.
-func (c *request) identify() *refusal {
+// authenticate finds the customer that the key belongs to.
+func (c *request) authenticate() *refusal {
 	if c.route.Public {
-		return c.checkPublic()
+		return c.checkPublicRoute()
 	}
-	if !c.keysKnown() {
-		return notRun(http.StatusServiceUnavailable, "keys can't be checked: the configuration is too old", leaseRetryAfter)
+	if !c.keysTrusted() {
+		return retryableRefusal(http.StatusServiceUnavailable, "keys can't be checked: the configuration is too old", staleKeysRetryAfter)
 	}
 	c.customer = c.index.Customer(c.call.Key)
 	if c.customer == nil {
-		return c.unknown(http.StatusUnauthorized, "unknown key")
+		return c.refuseUnknown(http.StatusUnauthorized, "unknown key")
 	}
 	return nil
 }
 
-// unknown refuses what the configuration in force doesn't have. That is final unless a
-// newer one is known of, which may have it: callers take no for an answer.
-func (c *request) unknown(status int, text string) *refusal {
+// refuseUnknown refuses a request whose route or key is not in the configuration in force. If a newer
+// configuration is known to exist, the refusal is temporary, because callers don't retry a final one.
+func (c *request) refuseUnknown(status int, text string) *refusal {
 	if c.server.Catalog.Superseded() {
-		return notRun(http.StatusServiceUnavailable, text+" yet: a newer configuration is known of", startingRetryAfter)
+		return retryableRefusal(http.StatusServiceUnavailable, text+" yet: a newer configuration is known of", startingRetryAfter)
 	}
-	return final(status, text)
+	return finalRefusal(status, text)
 }
 
-// checkPublic refuses calls without a key where a newer configuration is known of that
-// could not be had for as long as keys may be trusted: the route may go elsewhere by now.
-func (c *request) checkPublic() *refusal {
-	if c.server.Catalog.Superseded() && !c.keysKnown() {
-		return notRun(http.StatusServiceUnavailable, "a newer configuration is known of, and the one in force is too old", leaseRetryAfter)
+// checkPublicRoute refuses requests for a public route if a newer configuration exists that could not
+// be loaded for longer than the key lease. That configuration may send the route elsewhere.
+func (c *request) checkPublicRoute() *refusal {
+	if c.server.Catalog.Superseded() && !c.keysTrusted() {
+		return retryableRefusal(http.StatusServiceUnavailable, "a newer configuration is known of, and the one in force is too old", staleKeysRetryAfter)
 	}
 	return nil
 }
 
-// keysKnown reports that the configuration is young enough to trust its keys now.
-func (c *request) keysKnown() bool {
-	_, at := c.server.Catalog.Index()
-	return c.server.Clock.Now().Sub(at) < time.Duration(c.server.keyLease.Load())
+// keysTrusted reports whether the configuration is recent enough to accept its keys.
+func (c *request) keysTrusted() bool {
+	_, confirmedAt := c.server.Catalog.Index()
+	return c.server.Clock.Now().Sub(confirmedAt) < time.Duration(c.server.keyLease.Load())
 }
 
-// readBody reads the whole body; it may be sent more than once.
+// readBody reads the whole body, which may have to be sent more than once.
 func (c *request) readBody() *refusal {
 	limit := c.index.Bundle.Callers.BodyBytes
 	if limit == 0 {
-		limit = defaultMaxBody
+		limit = defaultMaxBodyBytes
 	}
 	control := http.NewResponseController(c.writer)
-	if err := control.SetReadDeadline(time.Now().Add(bodyTimeout)); err != nil && !errors.Is(err, http.ErrNotSupported) {
-		return final(http.StatusBadRequest, "the connection takes no deadline")
+	if err := control.SetReadDeadline(time.Now().Add(bodyReadTimeout)); err != nil && !errors.Is(err, http.ErrNotSupported) {
+		return finalRefusal(http.StatusBadRequest, "the connection takes no deadline")
 	}
-	body, err := io.ReadAll(heldBody{request: c, body: http.MaxBytesReader(c.writer, c.http.Body, limit)})
+	body, err := io.ReadAll(bufferedBody{request: c, body: http.MaxBytesReader(c.writer, c.incoming.Body, limit)})
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return final(http.StatusRequestEntityTooLarge, "the body is too large")
+		return finalRefusal(http.StatusRequestEntityTooLarge, "the body is too large")
 	}
-	if errors.Is(err, errTooMuchHeld) {
-		return notRun(http.StatusServiceUnavailable, err.Error(), heldRetryAfter)
+	if errors.Is(err, errBufferFull) {
+		return retryableRefusal(http.StatusServiceUnavailable, err.Error(), bufferFullRetryAfter)
 	}
 	if err != nil {
-		return final(http.StatusBadRequest, "the body broke off")
+		return finalRefusal(http.StatusBadRequest, "the body broke off")
 	}
-	// Writers that know no deadline, as in tests, have none to lift.
+	// Writers without deadline support, as in tests, are left as they are.
 	_ = control.SetReadDeadline(time.Time{})
 	c.body = body
-	c.fingerprint = shelfshelf.FingerprintOf(c.http.Method, c.http.Host, c.http.RequestURI, body)
+	c.fingerprint = shelfshelf.FingerprintOf(c.incoming.Method, c.incoming.Host, c.incoming.RequestURI, body)
 	return nil
 }
 
-// setDeadline bounds the request by the caller's patience and the route's time.
+// setDeadline sets the request's deadline from the caller's timeout and the route's limit.
 func (c *request) setDeadline() {
-	patience := c.call.Patience
-	if patience == 0 {
-		patience = defaultPatience
+	timeout := c.call.Patience
+	if timeout == 0 {
+		timeout = defaultCallerTimeout
 	}
 	if c.route.Deadline > 0 {
-		patience = min(patience, c.route.Deadline)
+		timeout = min(timeout, c.route.Deadline)
 	}
-	c.deadline = c.arrived.Add(patience)
-	c.boundWriting(c.left())
+	c.deadline = c.arrived.Add(timeout)
+	c.setWriteDeadline(c.timeLeft())
 }
 
-// checkLimit takes the request's tokens from the customer's limit.
-func (c *request) checkLimit() *refusal {
+// chargeQuota charges the request's tokens to the customer's quota.
+func (c *request) chargeQuota() *refusal {
 	if c.customer == nil {
 		return nil
 	}
@@ -236,20 +236,20 @@
 	if c.call.Counted {
 		c.tokens = c.call.PromptTokens + c.call.MaxOutputTokens
 	}
-	c.quota = c.server.Quota.Charge(c.customer, c.tokens)
-	if !c.quota.OK {
-		return notRun(http.StatusTooManyRequests, "over the customer's limit", c.quota.Wait)
+	c.quotaVerdict = c.server.Quota.Charge(c.customer, c.tokens)
+	if !c.quotaVerdict.OK {
+		return retryableRefusal(http.StatusTooManyRequests, "over the customer's limit", c.quotaVerdict.Wait)
 	}
-	c.charge = c.quota.Entry
+	c.charge = c.quotaVerdict.Entry
 	return nil
 }
 
-// serve carries an admitted request.
+// serve serves an admitted request.
 func (c *request) serve() {
-	ctx, cancel := context.WithTimeout(c.http.Context(), c.left())
+	ctx, cancel := context.WithTimeout(c.incoming.Context(), c.timeLeft())
 	defer cancel()
 	c.ctx = ctx
-	c.pool = c.pickPool()
+	c.pool = c.selectPool()
 	c.server.Retries.Request(c.pool)
 	if c.route.Kind == shelfshelf.RouteStream {
 		c.serveStream()
@@ -258,9 +258,9 @@
 	c.servePlain()
 }
 
-// pickPool picks a pool by the weights of a split route; the same request always
-// falls to the same part.
-func (c *request) pickPool() shelfshelf.PoolName {
+// selectPool selects a pool by the weights of a split route. The same request ID always selects the
+// same pool.
+func (c *request) selectPool() shelfshelf.PoolName {
 	total := 0
 	for _, share := range c.route.Shares {
 		total += max(share.Weight, 0)
@@ -268,7 +268,7 @@
 	if total == 0 {
 		return c.route.Pool
 	}
-	point := int(hashOf(string(c.call.ID)) % uint64(total))
+	point := int(hashString(string(c.call.ID)) % uint64(total))
 	for _, share := range c.route.Shares {
 		point -= max(share.Weight, 0)
 		if point < 0 {
--- a/gateway/server_test.go
+++ b/gateway/server_test.go
@@ -19,20 +19,20 @@
 	"github.com/shelfshelf/shelfshelf/quota"
 )
 
-// oneRevision is a source of one configuration.
-type oneRevision struct {
+// singleConfigurationSource is a source that holds one configuration.
+type singleConfigurationSource struct {
 	shelfshelf.CatalogSource
 	configuration *shelfshelf.Configuration
 }
 
-func (s oneRevision) DecodeConfiguration([]byte) (*shelfshelf.Configuration, error) {
+func (s singleConfigurationSource) DecodeConfiguration([]byte) (*shelfshelf.Configuration, error) {
 	return s.configuration, nil
 }
 
-// An instance that knows of a newer configuration than its own neither says for good that
-// a route or a key is unknown, nor goes on for ever with public routes that may have moved:
-// 292 callers of routes just added got 404 from instances that had not fetched them yet.
-func TestSupersededConfigurationsDenyNothingForGood(t *testing.T) {
+// An instance that knows of a newer configuration than its own refuses unknown routes and keys only
+// temporarily, and doesn't serve public routes indefinitely, because they may have moved. Without
+// this, 292 callers of newly added routes got 404 from instances that had not loaded them yet.
+func TestSupersededConfigurationRefusesWithRetryAfter(t *testing.T) {
 	t.Parallel()
 	const lease = 4 * time.Second
 	hash := sha256.Sum256([]byte("known"))
@@ -44,27 +44,27 @@
 		Customers: []shelfshelf.Customer{{Name: "c", TokenHashes: [][]byte{hash[:]}}},
 	}}
 	for name, c := range map[string]struct {
-		path, key string
-		heardOf   shelfshelf.Revision
-		age       time.Duration
-		want      int
+		path, key     string
+		knownRevision shelfshelf.Revision
+		age           time.Duration
+		want          int
 	}{
-		"unknown route":                {"/none/", "known", 5, 0, http.StatusNotFound},
-		"unknown route, superseded":    {"/none/", "known", 6, 0, http.StatusServiceUnavailable},
-		"unknown key":                  {"/closed/", "other", 5, 0, http.StatusUnauthorized},
-		"unknown key, superseded":      {"/closed/", "other", 6, 0, http.StatusServiceUnavailable},
-		"public, old, superseded":      {"/open/", "", 6, lease, http.StatusServiceUnavailable},
-		"unknown route, only old":      {"/none/", "known", 5, lease, http.StatusNotFound},
-		"unknown route, heard of less": {"/none/", "known", 4, 0, http.StatusNotFound},
+		"unknown route":                 {"/none/", "known", 5, 0, http.StatusNotFound},
+		"unknown route, superseded":     {"/none/", "known", 6, 0, http.StatusServiceUnavailable},
+		"unknown key":                   {"/closed/", "other", 5, 0, http.StatusUnauthorized},
+		"unknown key, superseded":       {"/closed/", "other", 6, 0, http.StatusServiceUnavailable},
+		"public, old, superseded":       {"/open/", "", 6, lease, http.StatusServiceUnavailable},
+		"unknown route, old but newest": {"/none/", "known", 5, lease, http.StatusNotFound},
+		"unknown route, older known":    {"/none/", "known", 4, 0, http.StatusNotFound},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			clock := clockwork.NewFakeClock()
-			known := &catalog.Catalog{Clock: clock, Log: log.New(io.Discard), Source: oneRevision{configuration: configuration}}
+			known := &catalog.Catalog{Clock: clock, Log: log.New(io.Discard), Source: singleConfigurationSource{configuration: configuration}}
 			if err := known.Offer(nil, clock.Now().Add(-c.age), "a test"); err != nil {
 				t.Fatal(err)
 			}
-			known.HeardOf(c.heardOf)
+			known.HeardOf(c.knownRevision)
 			ledger := &quota.Ledger{Clock: clock, Window: time.Second}
 			ledger.Start()
 			s := &gateway.Server{
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -13,63 +13,63 @@
 )
 
 const (
-	// silenceFactor times the route's longest pause is how long a stream that can go
-	// on elsewhere may be silent; leastSilence bounds it from below.
-	silenceFactor = 3
-	leastSilence  = time.Second
-	// firstSilenceFactor times the expected time, and leastSilence, is the same before
-	// the first event.
-	firstSilenceFactor = 3
+	// idleTimeoutFactor times the route's longest expected gap between events is the idle timeout of a
+	// stream that can be resumed at another target. minIdleTimeout is its lower limit.
+	idleTimeoutFactor = 3
+	minIdleTimeout    = time.Second
+	// firstEventTimeoutFactor times the expected time is the timeout before the first event, with
+	// minIdleTimeout as its lower limit too.
+	firstEventTimeoutFactor = 3
 )
 
 var (
-	errSilent  = errors.New("the target is silent")
-	errAborted = errors.New("the caller is gone")
+	errIdleTimeout = errors.New("the target is silent")
+	errCallerGone  = errors.New("the caller is gone")
 )
 
-// stream is the state of one streamed answer over all its attempts.
+// stream is the state of one streamed response over all its attempts.
 type stream struct {
 	*request
-	// lastEvent is the id of the last event that the caller has.
-	lastEvent string
-	// failure is the last failure that a target gave itself.
-	failure *plainAnswer
+	// lastEventID is the ID of the last event sent to the caller.
+	lastEventID string
+	// lastFailure is the last failure response that came from a target itself.
+	lastFailure *plainResponse
 }
 
-// serveStream carries a call that is answered by events.
+// serveStream serves a request whose response is a stream of events.
 func (c *request) serveStream() {
-	s := &stream{request: c, lastEvent: c.call.LastEventID}
+	s := &stream{request: c, lastEventID: c.call.LastEventID}
 	for {
-		lease, refused := c.place()
+		lease, refused := c.acquireLease()
 		if refused != nil {
-			s.end(refused)
+			s.finishRefused(refused)
 			return
 		}
 		err := s.attempt(lease)
 		if err == nil {
 			return
 		}
-		c.avoid = append(c.avoid, lease.Target.Name)
-		if errors.Is(err, errAborted) || !s.resumable() || !c.mayRepeat(err) {
-			s.end(c.giveUp(err.Error(), c.comeBack()))
+		c.avoidTargets = append(c.avoidTargets, lease.Target.Name)
+		if errors.Is(err, errCallerGone) || !s.resumable() || !c.claimRetry(err) {
+			s.finishRefused(c.refusalFor(err.Error(), c.retryDelay()))
 			return
 		}
-		if c.headWritten {
-			c.resumed++
+		if c.headerWritten {
+			c.resumptions++
 		}
 	}
 }
 
-// resumable reports that a broken attempt may be followed by another.
+// resumable reports whether a broken attempt may be followed by another.
 func (s *stream) resumable() bool {
 	return !s.mayHaveRun || s.route.Resumable
 }
 
-// end answers with a refusal, or breaks the answer off if it has begun: its end
-// must not look like a whole one.
-func (s *stream) end(refused *refusal) {
-	if !s.headWritten {
-		s.endPlain(s.failure, refused)
+// finishRefused sends a refusal, or aborts the connection if the response has begun, so that the
+// caller doesn't take it for complete.
+func (s *stream) finishRefused(refused *refusal) {
+	if !s.headerWritten {
+		s.writeFailure(s.lastFailure, refused)
 		return
 	}
 	s.status = http.StatusOK
@@ -77,101 +77,102 @@
 	panic(http.ErrAbortHandler)
 }
 
-// attempt sends the call to one target and passes its events on. It returns nil if
-// the caller has a whole answer, of whatever status.
+// attempt sends the request to one target and forwards its events. It returns nil if the caller has a
+// complete response of any status.
 func (s *stream) attempt(lease *balance.Lease) error {
 	began := s.server.Clock.Now()
 	ctx, cancel := context.WithCancelCause(s.ctx)
 	defer cancel(nil)
-	watch := s.watch(cancel, lease)
-	defer watch.Stop()
-	response, err := s.send(ctx, lease, s.lastEvent)
+	idleTimer := s.startIdleTimer(cancel, lease)
+	defer idleTimer.Stop()
+	response, err := s.send(ctx, lease, s.lastEventID)
 	if errors.Is(err, shelfshelf.ErrNotRun) {
-		lease.Release(balance.Result{Failed: true, Unreachable: !s.over(), Unsent: true})
-		s.attemptFailed(lease, began, err)
+		lease.Release(balance.Result{Failed: true, Unreachable: !s.expired(), Unsent: true})
+		s.recordFailedAttempt(lease, began, err)
 		return err
 	}
-	s.sent++
+	s.sentAttempts++
 	if err != nil {
 		s.mayHaveRun = true
-		return s.failed(ctx, lease, began, err, 0)
+		return s.failStreamAttempt(ctx, lease, began, err, 0)
 	}
 	defer response.Close()
 	if response.Status != http.StatusOK {
-		return s.answerStatus(lease, began, response)
+		return s.handlePlainResponse(lease, began, response)
 	}
 	s.mayHaveRun = true
-	events, err := s.copyEvents(response, lease, watch)
+	events, err := s.forwardEvents(response, lease, idleTimer)
 	if err != nil {
-		return s.failed(ctx, lease, began, err, events)
+		return s.failStreamAttempt(ctx, lease, began, err, events)
 	}
 	lease.Release(balance.Result{Events: events})
-	s.outlived()
+	s.recordSurvived()
 	s.status = http.StatusOK
 	s.result = "answered"
 	return nil
 }
 
-// failed settles an attempt that broke off.
-func (s *stream) failed(ctx context.Context, lease *balance.Lease, began time.Time, err error, events int) error {
-	if cause := context.Cause(ctx); errors.Is(cause, errSilent) {
-		err = errSilent
+// failStreamAttempt releases the lease of an attempt that broke off and returns the cause.
+func (s *stream) failStreamAttempt(ctx context.Context, lease *balance.Lease, began time.Time, err error, events int) error {
+	if cause := context.Cause(ctx); errors.Is(cause, errIdleTimeout) {
+		err = errIdleTimeout
 	}
-	gone := s.http.Context().Err() != nil || errors.Is(err, errAborted)
-	if gone {
-		err = errAborted
+	callerGone := s.incoming.Context().Err() != nil || errors.Is(err, errCallerGone)
+	if callerGone {
+		err = errCallerGone
 	}
-	lease.Release(balance.Result{Failed: !gone, Left: gone, Unreachable: errors.Is(err, errSilent), Events: events})
-	s.attemptFailed(lease, began, err)
+	lease.Release(balance.Result{Failed: !callerGone, Left: callerGone, Unreachable: errors.Is(err, errIdleTimeout), Events: events})
+	s.recordFailedAttempt(lease, began, err)
 	return err
 }
 
-// answerStatus handles an answer that is not a stream.
-func (s *stream) answerStatus(lease *balance.Lease, began time.Time, response *upstream.Response) error {
-	answer, err := readPlain(response)
+// handlePlainResponse handles a response that is not a stream.
+func (s *stream) handlePlainResponse(lease *balance.Lease, began time.Time, response *upstream.Response) error {
+	whole, err := readWhole(response)
 	if err == nil && !response.Answer.NotRun {
-		s.outlived()
+		s.recordSurvived()
 	}
 	lease.Release(balance.Result{Failed: true, Gone: response.Answer.OtherTarget, NotRun: response.Answer.NotRun})
-	if err == nil && !response.Answer.NotRun && !s.headWritten && response.Status < http.StatusInternalServerError {
+	if err == nil && !response.Answer.NotRun && !s.headerWritten && response.Status < http.StatusInternalServerError {
 		s.mayHaveRun = true
-		s.writePlain(answer)
+		s.writeResponse(whole)
 		return nil
 	}
 	if err != nil || !response.Answer.NotRun {
 		s.mayHaveRun = true
 	} else {
-		s.turnedAway++
+		s.rejections++
 	}
 	if err == nil {
 		err = &statusError{answer: response.Answer}
 	}
 	if !response.Answer.NotRun {
-		s.failure = answer
+		s.lastFailure = whole
 	}
-	s.attemptFailed(lease, began, err)
+	s.recordFailedAttempt(lease, began, err)
 	return err
 }
 
-// watch ends an attempt whose target is silent, where another may take over.
-func (s *stream) watch(cancel context.CancelCauseFunc, lease *balance.Lease) *time.Timer {
-	limit := s.left()
-	if s.route.Resumable && s.attempts()+1 < s.route.MaxAttempts {
-		limit = max(firstSilenceFactor*lease.Expected, leastSilence)
+// startIdleTimer starts the timer that cancels an attempt when its target sends nothing for too long.
+// If no other target can take over, the limit is the time left.
+func (s *stream) startIdleTimer(cancel context.CancelCauseFunc, lease *balance.Lease) *time.Timer {
+	limit := s.timeLeft()
+	if s.route.Resumable && s.possibleRuns()+1 < s.route.MaxAttempts {
+		limit = max(firstEventTimeoutFactor*lease.Expected, minIdleTimeout)
 	}
-	return time.AfterFunc(limit, func() { cancel(errSilent) })
+	return time.AfterFunc(limit, func() { cancel(errIdleTimeout) })
 }
 
-// silence is how long a stream may pause once it has begun.
-func (s *stream) silence() time.Duration {
-	if s.route.Resumable && s.attempts() < s.route.MaxAttempts {
-		return max(silenceFactor*s.route.EventGap, leastSilence)
+// idleTimeout returns the longest gap between events that is accepted after the first event.
+func (s *stream) idleTimeout() time.Duration {
+	if s.route.Resumable && s.possibleRuns() < s.route.MaxAttempts {
+		return max(idleTimeoutFactor*s.route.EventGap, minIdleTimeout)
 	}
-	return s.left()
+	return s.timeLeft()
 }
 
-// copyEvents passes whole events on as they come and returns how many there were.
-func (s *stream) copyEvents(response *upstream.Response, lease *balance.Lease, watch *time.Timer) (int, error) {
+// forwardEvents forwards complete events as they arrive and returns their number.
+func (s *stream) forwardEvents(response *upstream.Response, lease *balance.Lease, idleTimer *time.Timer) (int, error) {
 	reader := &eventReader{source: response}
 	events := 0
 	for {
@@ -179,53 +180,53 @@
 		if err != nil && err != io.EOF {
 			return events, err
 		}
-		watch.Reset(s.silence())
+		idleTimer.Reset(s.idleTimeout())
 		now := s.server.Clock.Now()
 		if events == 0 {
 			lease.FirstToken()
 		}
-		if s.passed > 0 {
-			s.longestPause = max(s.longestPause, now.Sub(s.lastAt))
+		if s.eventsSent > 0 {
+			s.longestEventGap = max(s.longestEventGap, now.Sub(s.lastEventAt))
 		}
-		s.lastAt = now
+		s.lastEventAt = now
 		if len(next.raw) > 0 || err == io.EOF {
-			s.writeHead(response)
-			if failed := s.write(next.raw); failed != nil {
-				return events, failed
+			s.writeHeader(response)
+			if writeErr := s.writeAndFlush(next.raw); writeErr != nil {
+				return events, writeErr
 			}
 		}
 		if err == io.EOF {
 			return events, nil
 		}
 		events++
-		s.passed++
+		s.eventsSent++
 		if next.id != "" {
-			s.lastEvent = next.id
+			s.lastEventID = next.id
 		}
 	}
 }
 
-// writeHead hands the first target's head on, once.
-func (s *stream) writeHead(response *upstream.Response) {
-	if s.headWritten {
+// writeHeader sends the header of the first response to the caller, once.
+func (s *stream) writeHeader(response *upstream.Response) {
+	if s.headerWritten {
 		return
 	}
-	s.headWritten = true
+	s.headerWritten = true
 	s.firstByte = s.server.Clock.Now()
 	s.copyHeader(response.Header)
 	s.writer.WriteHeader(response.Status)
 }
 
-// write passes bytes on at once.
-func (s *stream) write(raw []byte) error {
+// writeAndFlush sends bytes to the caller immediately.
+func (s *stream) writeAndFlush(raw []byte) error {
 	if len(raw) == 0 {
 		return nil
 	}
 	if _, err := s.writer.Write(raw); err != nil {
-		return errAborted
+		return errCallerGone
 	}
 	if err := http.NewResponseController(s.writer).Flush(); err != nil && !errors.Is(err, http.ErrNotSupported) {
-		return errAborted
+		return errCallerGone
 	}
 	return nil
 }
