--- a/gateway/buffered.go
+++ b/gateway/buffered.go
@@ -25,9 +25,9 @@
 }
 
 // reserve adds bytes unless that would exceed the limit. A limit of 0 means unlimited.
-func (h *bufferUsage) reserve(bytes, limit int64) bool {
-	if total := h.bytes.Add(bytes); limit > 0 && total > limit {
-		h.bytes.Add(-bytes)
+func (u *bufferUsage) reserve(bytes, limit int64) bool {
+	if total := u.bytes.Add(bytes); limit > 0 && total > limit {
+		u.bytes.Add(-bytes)
 		return false
 	}
 	return true
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -41,13 +41,13 @@
 			c.writeFailure(lastFailure, refused)
 			return
 		}
-		whole, err := c.attemptPlain(lease)
+		plain, err := c.attemptPlain(lease)
 		if err == nil {
-			c.writeResponse(whole)
+			c.writeResponse(plain)
 			return
 		}
-		if whole != nil {
-			lastFailure = whole
+		if plain != nil {
+			lastFailure = plain
 		}
 		c.avoidTargets = append(c.avoidTargets, lease.Target.Name)
 		if !c.retryable() || !c.claimRetry(err) {
@@ -87,10 +87,10 @@
 	if err != nil {
 		return nil, c.failPlainAttempt(lease, began, err)
 	}
-	whole, err := readWhole(response)
+	plain, err := readPlainResponse(response)
 	response.Close()
-	if whole != nil {
-		c.addToBuffer(int64(len(whole.body)))
+	if plain != nil {
+		c.addToBuffer(int64(len(plain.body)))
 	}
 	if err != nil {
 		return nil, c.failPlainAttempt(lease, began, err)
@@ -104,14 +104,14 @@
 	}
 	c.mayHaveRun = true
 	c.recordSurvived()
-	if whole.status >= http.StatusInternalServerError {
+	if plain.status >= http.StatusInternalServerError {
 		lease.Release(balance.Result{Failed: true})
 		err = &statusError{answer: response.Answer}
 		c.recordFailedAttempt(lease, began, err)
-		return whole, err
+		return plain, err
 	}
 	lease.Release(balance.Result{})
-	return whole, nil
+	return plain, nil
 }
 
 // failPlainAttempt releases the lease of an attempt that gave no complete response and may have run.
@@ -133,7 +133,7 @@
 	return min(timeout, time.Duration(maxAttemptTimeoutShare*float64(left)))
 }
 
-func readWhole(response *upstream.Response) (*plainResponse, error) {
+func readPlainResponse(response *upstream.Response) (*plainResponse, error) {
 	body, err := io.ReadAll(io.LimitReader(response, maxResponseBytes+1))
 	if err != nil {
 		return nil, err
@@ -145,14 +145,14 @@
 }
 
 // writeResponse sends a target's response to the caller unchanged.
-func (c *request) writeResponse(whole *plainResponse) {
-	c.status = whole.status
+func (c *request) writeResponse(plain *plainResponse) {
+	c.status = plain.status
 	c.result = "answered"
 	c.firstByte = c.server.Clock.Now()
-	c.copyHeader(whole.header)
-	c.writer.Header().Set("Content-Length", strconv.Itoa(len(whole.body)))
-	c.writer.WriteHeader(whole.status)
-	if _, err := c.writer.Write(whole.body); err != nil {
+	c.copyHeader(plain.header)
+	c.writer.Header().Set("Content-Length", strconv.Itoa(len(plain.body)))
+	c.writer.WriteHeader(plain.status)
+	if _, err := c.writer.Write(plain.body); err != nil {
 		c.result = "the caller is gone"
 	}
 }
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -26,14 +26,15 @@
 	defaultLatencyGoal = time.Second
 	// unavailableRetryAfter is the Retry-After sent when no target could be reached.
 	unavailableRetryAfter = 150 * time.Millisecond
-	// maxUnsentAttempts is how many targets may be unreachable before the request fails.
+	// maxUnsentAttempts is the number of unreachable targets at which the request fails.
 	maxUnsentAttempts = 8
-	// maxRejections is how many targets may respond that they did not run the request before it fails.
-	// Limits are known with a delay, so a target that is full by now may have been chosen while others
-	// have room. Each such retry counts against the retry budget.
+	// maxRejections is the number of rejections (responses saying that the target did not run the
+	// request) at which the request fails. Limits are known with a delay, so a target that is full by
+	// now may have been chosen while others have room. Each such retry counts against the retry
+	// budget.
 	maxRejections = 3
-	// maxLeaseTries is how often a lease is acquired anew because a new configuration has narrowed the
-	// allowed regions while the request waited.
+	// maxLeaseTries is the maximum number of leases acquired for one attempt. Another one is needed if
+	// a new configuration has excluded the lease's region while the request waited.
 	maxLeaseTries = 3
 	// minTimeLeft is the minimum time left for which sending a request is worthwhile.
 	minTimeLeft = 20 * time.Millisecond
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -60,7 +60,8 @@
 	Crashes *crashes.Record
 	Witness *crashes.Witness
 	Metrics *Metrics
-	// MaxHeld limits the bytes buffered for request bodies over all requests; 0 means unlimited.
+	// MaxHeld limits the bytes buffered over all requests; 0 means unlimited. Request bodies beyond it
+	// are refused. Plain responses count too, but are never refused.
 	MaxHeld int64
 	// Fit reports whether this instance may accept connections.
 	Fit func() bool
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -128,14 +128,14 @@
 
 // handlePlainResponse handles a response that is not a stream.
 func (s *stream) handlePlainResponse(lease *balance.Lease, began time.Time, response *upstream.Response) error {
-	whole, err := readWhole(response)
+	plain, err := readPlainResponse(response)
 	if err == nil && !response.Answer.NotRun {
 		s.recordSurvived()
 	}
 	lease.Release(balance.Result{Failed: true, Gone: response.Answer.OtherTarget, NotRun: response.Answer.NotRun})
 	if err == nil && !response.Answer.NotRun && !s.headerWritten && response.Status < http.StatusInternalServerError {
 		s.mayHaveRun = true
-		s.writeResponse(whole)
+		s.writeResponse(plain)
 		return nil
 	}
 	if err != nil || !response.Answer.NotRun {
@@ -147,7 +147,7 @@
 		err = &statusError{answer: response.Answer}
 	}
 	if !response.Answer.NotRun {
-		s.lastFailure = whole
+		s.lastFailure = plain
 	}
 	s.recordFailedAttempt(lease, began, err)
 	return err
