--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -17,20 +17,19 @@
 )
 
 const (
-	window = 8 * time.Second
-	slack  = 140000
-	excess = 0.1
-	delay  = 300 * time.Millisecond
-	step   = 20 * time.Millisecond
+	window    = 8 * time.Second
+	slack     = 140000
+	overshoot = 0.1
+	delay     = 300 * time.Millisecond
+	step      = 20 * time.Millisecond
 )
 
-// fleet is instances of one data centre that tell each other their use a little
-// late.
+// fleet is the instances of one data centre, which report their usage to each other with a delay.
 type fleet struct {
-	clock   *clockwork.FakeClock
-	ledgers []*quota.Ledger
-	lives   []uint64
-	// admitted is what all let through, by step.
+	clock        *clockwork.FakeClock
+	ledgers      []*quota.Ledger
+	incarnations []uint64
+	// admitted is how many tokens all instances have admitted, by step.
 	admitted []float64
 	refused  float64
 }
@@ -39,7 +38,7 @@
 	f := &fleet{clock: clockwork.NewFakeClock()}
 	for range size {
 		f.ledgers = append(f.ledgers, f.ledger(size))
-		f.lives = append(f.lives, 1)
+		f.incarnations = append(f.incarnations, 1)
 	}
 	return f
 }
@@ -54,18 +53,18 @@
 	return l
 }
 
-// restart starts an instance anew, without what it knew.
+// restart replaces an instance by a new one that knows nothing.
 func (f *fleet) restart(i int) {
 	f.ledgers[i] = f.ledger(len(f.ledgers))
-	f.lives[i]++
+	f.incarnations[i]++
 }
 
-// tell makes every instance hear every other.
-func (f *fleet) tell() {
+// exchangeStatuses delivers a status of every instance to every other.
+func (f *fleet) exchangeStatuses() {
 	for i, from := range f.ledgers {
 		status := shelfshelf.Status{
 			From:        shelfshelf.Instance{ID: shelfshelf.InstanceID(fmt.Sprint(i))},
-			Incarnation: f.lives[i], Settled: from.Settled(), Uses: from.Own(),
+			Incarnation: f.incarnations[i], Settled: from.Settled(), Uses: from.Own(),
 		}
 		for j, to := range f.ledgers {
 			if i != j {
@@ -75,7 +74,8 @@
 	}
 }
 
-// run lets a customer ask for so much a step at instances in turn.
+// run advances time by steps. In each, it charges the requests that ask returns to consecutive
+// instances, beginning with the given one.
 func (f *fleet) run(customer *shelfshelf.Customer, steps int, ask func(step int) (instance int, tokens []int)) {
 	for s := range steps {
 		sum := 0.0
@@ -91,21 +91,21 @@
 		f.admitted = append(f.admitted, sum)
 		f.clock.Advance(step)
 		if s%int(delay/step/2) == 0 {
-			f.tell()
+			f.exchangeStatuses()
 		}
 	}
 }
 
-// quiet lets time pass in which customers ask for nothing.
-func (f *fleet) quiet(span time.Duration) {
+// idle lets time pass without requests.
+func (f *fleet) idle(span time.Duration) {
 	for range span / (delay / 2) {
 		f.clock.Advance(delay / 2)
-		f.tell()
+		f.exchangeStatuses()
 	}
 }
 
-// worst is the most that was let through within any window.
-func (f *fleet) worst() float64 {
+// maxInWindow returns the most tokens that were admitted within any window.
+func (f *fleet) maxInWindow() float64 {
 	most, sum := 0.0, 0.0
 	for i, amount := range f.admitted {
 		sum += amount
@@ -117,15 +117,16 @@
 	return most
 }
 
-func limited(rate float64) *shelfshelf.Customer {
+func limitedCustomer(rate float64) *shelfshelf.Customer {
 	return &shelfshelf.Customer{Name: "c", Limits: shelfshelf.Limits{TokensPerSecond: rate, TokenBurst: rate, PlainTokens: 200}}
 }
 
-func bound(rate float64) float64 {
-	return rate*(window.Seconds()+1)*(1+excess) + slack
+// maxAdmissible returns how much any window may hold at most, tolerance and slack included.
+func maxAdmissible(rate float64) float64 {
+	return rate*(window.Seconds()+1)*(1+overshoot) + slack
 }
 
-func TestNoWindowHoldsMoreThanTheLimit(t *testing.T) {
+func TestNoWindowExceedsTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 40).Draw(t, "instances")
 		rate := rapid.Float64Range(20000, 1e6).Draw(t, "rate")
@@ -133,7 +134,7 @@
 		perRequest := rapid.IntRange(200, 9000).Draw(t, "request")
 		f := newFleet(size)
 		due := 0.0
-		f.run(limited(rate), 1500, func(s int) (int, []int) {
+		f.run(limitedCustomer(rate), 1500, func(s int) (int, []int) {
 			due += rate * times * step.Seconds()
 			var tokens []int
 			for ; due >= float64(perRequest); due -= float64(perRequest) {
@@ -141,19 +142,19 @@
 			}
 			return s * 7, tokens
 		})
-		if worst := f.worst(); worst > bound(rate) {
-			t.Fatalf("%.0f of %.0f", worst, bound(rate))
+		if worst := f.maxInWindow(); worst > maxAdmissible(rate) {
+			t.Fatalf("%.0f of %.0f", worst, maxAdmissible(rate))
 		}
 	})
 }
 
-// Nobody who keeps to the limit is refused, however large single requests are.
-func TestWhoKeepsToTheLimitIsServed(t *testing.T) {
+// A customer that keeps to its limit is never refused, however large single requests are.
+func TestCustomerWithinLimitIsNotRefused(t *testing.T) {
 	for _, size := range []int{1, 6, 87} {
 		f := newFleet(size)
 		const rate = 300000
 		f.clock.Advance(window)
-		f.run(limited(rate), 2000, func(s int) (int, []int) {
+		f.run(limitedCustomer(rate), 2000, func(s int) (int, []int) {
 			switch {
 			case s%50 == 0:
 				return s, []int{54000}
@@ -168,42 +169,41 @@
 	}
 }
 
-// All instances start anew in the middle of a customer's excess, twice within a
-// window, and nobody knows what was used before.
-func TestRestartsGiveNoSecondLimit(t *testing.T) {
+// All instances restart while a customer is over its limit, twice within a window, and no earlier usage
+// was saved. The customer gets no second limit.
+func TestRestartOfAllInstancesKeepsTheLimit(t *testing.T) {
 	f := newFleet(6)
 	const rate = 200000
 	ask := func(s int) (int, []int) { return s, []int{4000, 4000, 4000, 4000} }
-	f.run(limited(rate), 500, ask)
+	f.run(limitedCustomer(rate), 500, ask)
 	for range 2 {
 		for i := range f.ledgers {
 			f.restart(i)
 		}
-		f.run(limited(rate), 200, ask)
+		f.run(limitedCustomer(rate), 200, ask)
 	}
-	f.run(limited(rate), 500, ask)
-	if worst := f.worst(); worst > bound(rate) {
-		t.Errorf("%.0f of %.0f", worst, bound(rate))
+	f.run(limitedCustomer(rate), 500, ask)
+	if worst := f.maxInWindow(); worst > maxAdmissible(rate) {
+		t.Errorf("%.0f of %.0f", worst, maxAdmissible(rate))
 	}
 }
 
-// One that starts anew learns from the others what was used, its own earlier life
-// included.
-func TestOneRestartForgetsNothing(t *testing.T) {
+// A restarted instance learns from its peers what was used, also by its earlier incarnation.
+func TestRestartedInstanceLearnsUsageFromPeers(t *testing.T) {
 	f := newFleet(3)
 	const rate = 200000
 	ask := func(s int) (int, []int) { return s, []int{4000, 4000, 4000, 4000} }
-	f.run(limited(rate), 500, ask)
+	f.run(limitedCustomer(rate), 500, ask)
 	for i := range 3 {
 		f.restart(i)
-		f.run(limited(rate), 60, ask)
+		f.run(limitedCustomer(rate), 60, ask)
 	}
-	if worst := f.worst(); worst > bound(rate) {
-		t.Errorf("%.0f of %.0f", worst, bound(rate))
+	if worst := f.maxInWindow(); worst > maxAdmissible(rate) {
+		t.Errorf("%.0f of %.0f", worst, maxAdmissible(rate))
 	}
 }
 
-func TestUnheardInstancesKeepTheirShare(t *testing.T) {
+func TestShareOfUnreachableInstancesIsReserved(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	l := &quota.Ledger{
 		Clock: clock, Window: window,
@@ -215,7 +215,7 @@
 	const rate = 9000
 	sum := 0
 	for range 1000 {
-		if l.Charge(limited(rate), 100).OK {
+		if l.Charge(limitedCustomer(rate), 100).OK {
 			sum += 100
 		}
 	}
@@ -224,12 +224,12 @@
 	}
 }
 
-func TestRefundGivesBack(t *testing.T) {
+func TestRefundRestoresTheLimit(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	l := &quota.Ledger{Clock: clock, Window: window, Instances: func() (int, int) { return 1, 1 }, Delay: func() time.Duration { return 0 }}
 	l.Start()
 	clock.Advance(window)
-	customer := limited(1000)
+	customer := limitedCustomer(1000)
 	for range 100 {
 		v := l.Charge(customer, 2000)
 		if !v.OK {
@@ -239,7 +239,7 @@
 	}
 }
 
-func TestNoLimitMeansNoLimit(t *testing.T) {
+func TestCustomerWithoutLimitIsNotRefused(t *testing.T) {
 	l := &quota.Ledger{Clock: clockwork.NewFakeClock(), Instances: func() (int, int) { return 1, 1 }, Delay: func() time.Duration { return 0 }}
 	l.Start()
 	for range 1000 {
@@ -249,12 +249,12 @@
 	}
 }
 
-// What was saved before a restart of all counts after it, and no more: who had used
-// little is served at once.
-func TestSavedUseCounts(t *testing.T) {
+// After a restart of all instances, the saved usage counts and no more is assumed: a customer that used
+// little is admitted at once.
+func TestSavedUsageCountsAfterRestart(t *testing.T) {
 	f := newFleet(2)
 	const rate = 200000
-	customer := limited(rate)
+	customer := limitedCustomer(rate)
 	key := shelfshelf.KeyOfCustomer(customer.Name)
 	for used, want := range map[float64]bool{0: true, rate * 8: false} {
 		for i := range f.ledgers {
@@ -267,13 +267,13 @@
 	}
 }
 
-// A charge that is taken back later leaves nothing behind: once its own time has left
-// the window, it must not make room for others.
-func TestLateRefundsMakeNoRoom(t *testing.T) {
+// A refund must cancel the charge at the time of the charge. If it counted as negative usage at the
+// time of the refund, it would free capacity for other requests once the charge has left the window.
+func TestLateRefundFreesNoCapacity(t *testing.T) {
 	f := newFleet(1)
 	l := f.ledgers[0]
 	f.clock.Advance(window)
-	customer := limited(1000)
+	customer := limitedCustomer(1000)
 	l.Slack = 0
 	waiting := l.Charge(customer, 4000)
 	f.clock.Advance(500 * time.Millisecond)
@@ -291,12 +291,12 @@
 	}
 }
 
-// A charge counts from when its request is sent.
-func TestChargesCountFromTheSend(t *testing.T) {
+// A charge counts from the time its request is sent.
+func TestChargesCountFromSendTime(t *testing.T) {
 	f := newFleet(1)
 	l := f.ledgers[0]
 	f.clock.Advance(window)
-	customer := limited(1000)
+	customer := limitedCustomer(1000)
 	charged := l.Charge(customer, 4000)
 	f.clock.Advance(2 * time.Second)
 	l.Move(charged.Entry)
@@ -310,14 +310,14 @@
 	}
 }
 
-// A use that was saved counts until its own time has left the window, not evenly less:
-// a customer that had used its limit in the last second before a restart of all has
-// nothing left for the rest of the window.
-func TestSavedUseKeepsItsTime(t *testing.T) {
+// Saved usage counts until its own age leaves the window; it does not decay evenly. A customer that
+// used its whole limit in the last second before a restart of all instances has nothing left for the
+// rest of the window.
+func TestSavedUsageExpiresByAge(t *testing.T) {
 	f := newFleet(1)
 	f.ledgers[0].Slack = 0
 	const rate = 100000
-	customer := limited(rate)
+	customer := limitedCustomer(rate)
 	key := shelfshelf.KeyOfCustomer(customer.Name)
 	f.ledgers[0].Recall(shelfshelf.SavedUses{Uses: []shelfshelf.SavedUse{{Customer: key, Parts: [shelfshelf.UseParts]float64{9 * rate}}}})
 	f.clock.Advance(5 * time.Second)
@@ -330,64 +330,65 @@
 	}
 }
 
-// What the others have used counts as long as it is in the window, also where this instance had its
-// own part of it at another time: the instance that saves sees one request in 85 of a customer's.
-func TestOthersUseKeepsItsTime(t *testing.T) {
+// Usage at other instances counts as long as it is in the window, even if this instance's own usage
+// came at another time. The instance that saves the usage sees only one of 85 requests of a customer,
+// so it must not take its own distribution over time for that of the others.
+func TestReportedUsageExpiresByAge(t *testing.T) {
 	for name, restart := range map[string]bool{"saved and recalled": true, "without a restart": false} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(85)
 			const rate = 400000
-			customer := limited(rate)
+			customer := limitedCustomer(rate)
 			f.clock.Advance(window)
-			// Its own part of the use comes 2.5 s before all else.
+			// The usage at this instance comes 2.5 s before that at the others.
 			f.ledgers[0].Charge(customer, rate/10)
-			f.quiet(2500 * time.Millisecond)
+			f.idle(2500 * time.Millisecond)
 			used := 0.0
 			for i := 1; i < len(f.ledgers); i++ {
 				if f.ledgers[i].Charge(customer, rate/20).OK {
 					used += rate / 20
 				}
 			}
-			f.quiet(3 * time.Second)
-			judge := f.ledgers[0]
+			f.idle(3 * time.Second)
+			observer := f.ledgers[0]
 			if restart {
-				saved := judge.All()
+				saved := observer.All()
 				for i := range f.ledgers {
 					f.restart(i)
 					f.ledgers[i].Recall(shelfshelf.SavedUses{Uses: saved})
 				}
-				judge = f.ledgers[0]
+				observer = f.ledgers[0]
 			}
-			f.quiet(4 * time.Second)
-			if v := judge.Charge(customer, 1); v.Used < used {
+			f.idle(4 * time.Second)
+			if v := observer.Charge(customer, 1); v.Used < used {
 				t.Errorf("%.0f of %.0f tokens used 7 s ago are known", v.Used, used)
 			}
 		})
 	}
 }
 
-// What an instance had used before it was restarted counts as long for the others.
-func TestEndedLivesKeepTheirTime(t *testing.T) {
+// What an instance used before its restart still counts at the others until it leaves the window.
+func TestEndedIncarnationsCountUntilExpiry(t *testing.T) {
 	f := newFleet(2)
 	f.clock.Advance(window)
-	customer := limited(1000)
+	customer := limitedCustomer(1000)
 	for i := range f.ledgers {
 		if v := f.ledgers[i].Charge(customer, 900); !v.OK {
 			t.Fatalf("%+v", v)
 		}
 	}
-	f.tell()
+	f.exchangeStatuses()
 	f.restart(1)
-	f.tell()
+	f.exchangeStatuses()
 	f.clock.Advance(window / 2)
-	f.tell()
+	f.exchangeStatuses()
 	if v := f.ledgers[0].Charge(customer, 1); v.Used < 1800 {
 		t.Errorf("%+v", v)
 	}
 }
 
-// The use is saved as soon as a good part of a limit is used, else once a second.
-func TestUrgentUseIsSavedSoon(t *testing.T) {
+// The usage is saved as soon as urgentFraction of a limit is used, and otherwise once a second.
+func TestUrgentUsageIsSavedEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &quota.Ledger{
 			Clock: clockwork.NewRealClock(), Window: window, Slack: slack,
@@ -406,7 +407,7 @@
 		if store.saves != 1 {
 			t.Fatalf("%d saves in a quiet second", store.saves)
 		}
-		customer := limited(1000)
+		customer := limitedCustomer(1000)
 		l.Charge(customer, 2000)
 		time.Sleep(300 * time.Millisecond)
 		synctest.Wait()
@@ -416,7 +417,7 @@
 	})
 }
 
-// useStore keeps what was saved last.
+// useStore counts saves and keeps the latest one.
 type useStore struct {
 	saves int
 	last  []shelfshelf.SavedUse
@@ -432,39 +433,39 @@
 	return shelfshelf.SavedUses{}, shelfshelf.ErrNotFound
 }
 
-// towns is instances in several data centres, which tell statuses within and digests
-// between them.
-type towns struct {
-	clock   *clockwork.FakeClock
-	ledgers map[shelfshelf.InstanceID]*quota.Ledger
-	lives   map[shelfshelf.InstanceID]uint64
+// multiCentreFleet is instances in several data centres. They exchange statuses within a data centre
+// and digests between them.
+type multiCentreFleet struct {
+	clock        *clockwork.FakeClock
+	ledgers      map[shelfshelf.InstanceID]*quota.Ledger
+	incarnations map[shelfshelf.InstanceID]uint64
 }
 
 func centreOf(id shelfshelf.InstanceID) shelfshelf.DataCentre {
 	return shelfshelf.DataCentre(id[:1])
 }
 
-func (w *towns) start(id shelfshelf.InstanceID) *quota.Ledger {
+func (f *multiCentreFleet) start(id shelfshelf.InstanceID) *quota.Ledger {
 	l := &quota.Ledger{
-		Clock: w.clock, DataCentre: centreOf(id), Window: window,
+		Clock: f.clock, DataCentre: centreOf(id), Window: window,
 		Instances: func() (int, int) { return 4, 4 },
 		Delay:     func() time.Duration { return delay },
 	}
 	l.Start()
-	w.ledgers[id] = l
-	w.lives[id]++
+	f.ledgers[id] = l
+	f.incarnations[id]++
 	return l
 }
 
-// tell lets every instance hear the others.
-func (w *towns) tell() {
-	for id, from := range w.ledgers {
-		for other, to := range w.ledgers {
+// exchangeStatuses delivers the report of every instance to every other.
+func (f *multiCentreFleet) exchangeStatuses() {
+	for id, from := range f.ledgers {
+		for other, to := range f.ledgers {
 			switch {
 			case other == id:
 			case centreOf(other) == centreOf(id):
 				to.Heard(shelfshelf.Status{
-					From: shelfshelf.Instance{ID: id}, Incarnation: w.lives[id], Settled: from.Settled(),
+					From: shelfshelf.Instance{ID: id}, Incarnation: f.incarnations[id], Settled: from.Settled(),
 					Uses: from.Own(), EndedUses: from.Ended(),
 				})
 			default:
@@ -476,47 +477,46 @@
 	}
 }
 
-// After a restart of most instances, those that have started know what their earlier
-// lives had used, from the one that went on and from what was saved, and the one that
-// went on does not forget it.
-func TestPartialRestartsGiveNoSecondLimit(t *testing.T) {
-	w := &towns{
+// Three of four instances restart. They must learn the usage of their earlier incarnations from the
+// remaining instance and from what was saved, and the remaining instance must not forget it.
+func TestPartialRestartKeepsTheLimit(t *testing.T) {
+	f := &multiCentreFleet{
 		clock:   clockwork.NewFakeClock(),
-		ledgers: make(map[shelfshelf.InstanceID]*quota.Ledger), lives: make(map[shelfshelf.InstanceID]uint64),
+		ledgers: make(map[shelfshelf.InstanceID]*quota.Ledger), incarnations: make(map[shelfshelf.InstanceID]uint64),
 	}
 	all := []shelfshelf.InstanceID{"a1", "a2", "b1", "c1"}
 	for _, id := range all {
-		w.start(id)
+		f.start(id)
 	}
-	w.clock.Advance(window)
-	w.tell()
-	customer := limited(1000)
+	f.clock.Advance(window)
+	f.exchangeStatuses()
+	customer := limitedCustomer(1000)
 	for _, id := range all {
-		if v := w.ledgers[id].Charge(customer, 2200); !v.OK {
+		if v := f.ledgers[id].Charge(customer, 2200); !v.OK {
 			t.Fatalf("%s: %+v", id, v)
 		}
 	}
-	w.tell()
-	saved := shelfshelf.SavedUses{Uses: w.ledgers["a1"].All()}
-	w.clock.Advance(2 * time.Second)
+	f.exchangeStatuses()
+	saved := shelfshelf.SavedUses{Uses: f.ledgers["a1"].All()}
+	f.clock.Advance(2 * time.Second)
 	for _, id := range all[1:] {
-		w.start(id).Recall(shelfshelf.SavedUses{Uses: saved.Uses, Age: 2 * time.Second})
+		f.start(id).Recall(shelfshelf.SavedUses{Uses: saved.Uses, Age: 2 * time.Second})
 	}
 	for range 30 {
-		w.tell()
-		w.clock.Advance(100 * time.Millisecond)
+		f.exchangeStatuses()
+		f.clock.Advance(100 * time.Millisecond)
 		for _, id := range all {
-			if v := w.ledgers[id].Charge(customer, 100); v.OK || v.Used < 8700 || v.Used > 9900 {
+			if v := f.ledgers[id].Charge(customer, 100); v.OK || v.Used < 8700 || v.Used > 9900 {
 				t.Fatalf("%s: %+v", id, v)
 			}
 		}
 	}
 }
 
-// Where a data centre is too large for all to hear each other often, the word of an instance
-// that hears all counts, without what it has heard of this one; the others' own word counts
-// where it is more.
-func TestSumsOfTheOwnDataCentreCount(t *testing.T) {
+// Where a data centre is too large for all instances to hear from each other often, the digest of an
+// instance that hears from all of them counts, less what this instance had reported. The peers' own
+// reports count where they are higher.
+func TestDigestOfOwnDataCentreCounts(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	l := &quota.Ledger{
 		Clock: clock, DataCentre: "dc", Window: 8 * time.Second,
