--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -547,6 +547,6 @@
 	clock.Advance(2 * time.Second)
 	l.Own()
 	if got := used(); got > 162 {
-		t.Errorf("%.1f used by a word that is 2 s old", got)
+		t.Errorf("%.1f used according to a digest that is 2 s old", got)
 	}
 }
