--- a/places.go
+++ b/places.go
@@ -5,87 +5,88 @@
 	"time"
 )
 
-// PlaceID names one place that this instance holds or waits for at an engine.
+// PlaceID identifies a concurrency slot of an engine that this instance holds or has requested.
 type PlaceID uint64
 
-// PlaceOutcome is what an owner answers to an ask for a place.
+// PlaceOutcome is the owner's reply to a request for a slot.
 type PlaceOutcome uint8
 
 const (
-	// PlaceUnknown means that nobody owns the engine, or that its owner doesn't know it.
+	// PlaceUnknown means that the engine has no owner, or that its owner doesn't know it.
 	PlaceUnknown PlaceOutcome = iota
-	// PlaceGranted means that the place is taken for the asker.
+	// PlaceGranted means that the slot is assigned to the requester.
 	PlaceGranted
-	// PlaceWaits means that the ask stands in the engine's line.
+	// PlaceWaits means that the request is queued for the engine.
 	PlaceWaits
-	// PlaceUnanswered means that the owner has not answered yet; the ask stands, and its
-	// place may still come.
+	// PlaceUnanswered means that the owner has not replied yet. The request remains valid and may still
+	// be granted.
 	PlaceUnanswered
-	// PlaceRests means that the target gets nothing yet, since it could not be reached lately
-	// or has announced a limit; the ask does not stand in its line.
+	// PlaceRests means that the target gets no requests for now, because it was unreachable recently or
+	// has announced a rate limit. The request is not queued.
 	PlaceRests
 )
 
-// PlaceAsk is an ask for a place at an engine.
+// PlaceAsk is a request for a concurrency slot of an engine.
 type PlaceAsk struct {
 	Target TargetKey
 	// DataCentre is where the engine runs; its owner runs there too.
 	DataCentre DataCentre
-	// Begun, Rank, Tier and Stay order the line: begun requests first, then lower ranks,
-	// lower tiers, shorter stays and earlier asks; a length that is served too rarely goes
-	// before shorter ones.
+	// Begun, Rank, Tier and Stay determine the order of the queue: requests that a target has already
+	// worked on come first, then lower ranks, lower tiers, shorter expected durations and earlier
+	// requests. Durations that are served too rarely are moved ahead of shorter ones.
 	Begun bool
 	Rank  int
 	Tier  Tier
-	// Stay is how long the request is expected to keep its place.
+	// Stay is the time for which the request is expected to hold its slot.
 	Stay time.Duration
-	// Wait is how long the ask stands in line.
+	// Wait is the maximum time in the queue.
 	Wait time.Duration
-	// Said is what the asker knows that the target has said: its owner, and no other instance,
-	// gives the places of a target with a limit, which it may not have heard of yet.
+	// Said is what the requester knows of the target's announcements. The slots of a target with a rate
+	// limit are assigned by its owner alone, and the owner may not have heard of the limit yet.
 	Said TargetWord
-	// Strict says that only the target's first owner is asked, however silent it is; it isn't sent.
+	// Strict is set if only the target's first owner may be asked, even if it does not respond. It is
+	// not sent over the network.
 	Strict bool
 }
 
 const (
-	// reservedPlaces is how many places of each engine only the highest tier takes;
-	// engines with less than fewPlaces keep none, or lower tiers would never run.
-	reservedPlaces = 1
-	fewPlaces      = 4
+	// reservedSlots is the number of slots per engine that are reserved for the highest tier. Engines
+	// with fewer slots than minSlotsToReserve reserve none; otherwise lower tiers would never run on
+	// them.
+	reservedSlots     = 1
+	minSlotsToReserve = 4
 )
 
-// ReservedPlaces returns how many places of an engine with so many slots a request must
-// leave to higher tiers. The line puts them first, but none of them may be waiting at
-// this moment.
-func ReservedPlaces(slots int, tier Tier, begun bool) int {
-	if tier == 0 || begun || slots < fewPlaces {
+// ReservedPlaces returns how many of an engine's slots a request must leave free for higher tiers. The
+// queue order alone doesn't protect higher tiers, since none of their requests may be queued at the
+// moment.
+func ReservedPlaces(slots int, tier Tier, retry bool) int {
+	if tier == 0 || retry || slots < minSlotsToReserve {
 		return 0
 	}
-	return reservedPlaces
+	return reservedSlots
 }
 
-// PlaceAnswer is an owner's answer.
+// PlaceAnswer is the owner's reply to a request for a slot.
 type PlaceAnswer struct {
 	ID      PlaceID
 	Outcome PlaceOutcome
-	// Requests is how many places of the engine are taken, as its owner knows.
+	// Requests is the number of the engine's slots that are in use, as far as the owner knows.
 	Requests int
-	// Rest is how much longer an engine rests, with PlaceRests.
+	// Rest is the remaining back-off of the engine; set with PlaceRests.
 	Rest time.Duration
 }
 
-// Places asks the owners of engines for places. It is safe for concurrent use.
+// Places acquires concurrency slots of engines from the instances that own the engines. It is safe for
+// concurrent use.
 type Places interface {
-	// Ask asks for a place and returns the owner's first answer. An ask that waits, or is
-	// not answered yet, is told to granted once its turn has come; granted must have room
-	// for it.
+	// Ask requests a slot and returns the owner's first reply. If the request is queued or unanswered,
+	// the ID is sent to granted once the slot is assigned; the channel must have buffer space for it.
 	Ask(ctx context.Context, ask PlaceAsk, granted chan<- PlaceID) PlaceAnswer
-	// Took notes a place that was taken without an owner's word.
+	// Took records a slot that was taken without the owner's grant.
 	Took(target TargetKey, centre DataCentre) PlaceID
-	// Give gives a place back; unreachable says that the engine could not be reached.
+	// Give releases a slot; unreachable is set if the engine could not be reached.
 	Give(id PlaceID, unreachable bool)
-	// Leave takes an ask out of its line; served says that its request found a place
-	// elsewhere.
+	// Leave cancels a queued request; served is set if the request was given a slot elsewhere.
 	Leave(id PlaceID, served bool)
 }
