--- a/fingerprint.go
+++ b/fingerprint.go
@@ -8,16 +8,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Fingerprint names what a request asks for: each try of the same request has the same
-// one, whatever its id, its caller and the instance that it comes to.
+// Fingerprint identifies the content of a request. All attempts of the same request have the same
+// fingerprint, independent of the request ID, the caller and the instance that receives them.
 type Fingerprint uint64
 
-// FingerprintOf returns the fingerprint of a request by its method, its host, its path
-// with the query, and its body.
+// FingerprintOf returns the fingerprint of a request, computed from its method, its host, its path with
+// the query, and its body.
 func FingerprintOf(method, host, target string, body []byte) Fingerprint {
 	hash := xxhash.New()
 	for _, part := range []string{method, host, target} {
-		// The length keeps two requests apart whose parts are cut at another place.
+		// The length prefix prevents collisions of requests whose parts are divided differently.
 		var length [8]byte
 		binary.BigEndian.PutUint64(length[:], uint64(len(part)))
 		_, _ = hash.Write(length[:])
@@ -27,7 +27,7 @@
 	return Fingerprint(hash.Sum64())
 }
 
-// ParseFingerprint reads a fingerprint as String writes it.
+// ParseFingerprint parses the format that String returns.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	value, err := strconv.ParseUint(text, 16, 64)
 	if err != nil {
@@ -36,5 +36,5 @@
 	return Fingerprint(value), nil
 }
 
-// String returns the fingerprint as logs show it, in 16 hexadecimal digits.
+// String returns the fingerprint as 16 hexadecimal digits, the format used in logs.
 func (f Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(f)) }
--- a/fingerprint_test.go
+++ b/fingerprint_test.go
@@ -6,12 +6,12 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-func TestFingerprintsTellRequestsApart(t *testing.T) {
+func TestFingerprintDistinguishesRequests(t *testing.T) {
 	t.Parallel()
 	of := shelfshelf.FingerprintOf
 	first := of("POST", "h", "/a?b", []byte("body"))
 	if first != of("POST", "h", "/a?b", []byte("body")) {
-		t.Error("two tries of the same request differ")
+		t.Error("two attempts of the same request have different fingerprints")
 	}
 	for _, other := range []shelfshelf.Fingerprint{
 		of("GET", "h", "/a?b", []byte("body")),
