--- a/bundle.go
+++ b/bundle.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Bundle is everything that operators declare; an accepted one is immutable.
+// Bundle is the whole configuration that operators declare. An accepted bundle is immutable.
 type Bundle struct {
-	// Name describes the bundle to people.
+	// Name is a description for people.
 	Name string
 	// Approvers are the keys that may sign the next bundle.
 	Approvers []Approver
-	// Threshold is how many distinct approvers must sign the next bundle.
+	// Threshold is the number of distinct approvers that must sign the next bundle.
 	Threshold int
 	Tiers     []TierSpec
 	Pools     []Pool
 	Customers []Customer
 	Routes    []Route
 	Targets   []Target
-	// Callers bounds what callers may send, where the source of the bundle says so.
+	// Callers limits what callers may send, if the source of the bundle sets such limits.
 	Callers CallerLimits
 }
 
-// CallerLimits bound a caller's request; zero means unbounded.
+// CallerLimits limit a caller's request; zero means unlimited.
 type CallerLimits struct {
 	BodyBytes int64
 }
@@ -31,17 +31,17 @@
 	PublicKey []byte
 }
 
-// TierSpec describes one tier; its place in the list is its rank.
+// TierSpec describes one tier; its index in the list is its rank.
 type TierSpec struct {
 	Name string
-	// Weight is the tier's worth in weighted goodput.
+	// Weight is the tier's weight in the weighted goodput.
 	Weight float64
-	// MaxWait bounds how long a request of the tier may wait in line before it
-	// goes ahead of higher tiers in the order of dispatch; zero means never.
+	// MaxWait is how long a request of the tier may be queued before it is dispatched ahead of higher
+	// tiers; zero means never.
 	MaxWait time.Duration
 }
 
-// TargetKind tells a model engine from a plain service.
+// TargetKind distinguishes model engines from plain services.
 type TargetKind uint8
 
 // The kinds of target.
@@ -56,125 +56,127 @@
 type Pool struct {
 	Name PoolName
 	Kind TargetKind
-	// Model is the name that the pool's engines know their model by.
+	// Model is the name by which the pool's engines know their model.
 	Model string
-	// Role is what the pool's engines do: whole, prefill or decode.
+	// Role is the part of the work that the pool's engines do: whole, prefill or decode.
 	Role string
 	// Engine describes the pool's engines; nil for plain services.
 	Engine *EngineSpec
-	// Cold is what its targets bear while they are cold; they never are if it is zero.
+	// Cold describes the cold start of the pool's targets; zero means that they have none.
 	Cold ColdSpec
 }
 
-// ColdSpec describes targets that are cold: slow, and soon overwhelmed.
+// ColdSpec describes a cold start: for some time after its start, a target is slow and easily
+// overloaded.
 type ColdSpec struct {
 	// Time is how long a target is cold after it has started.
 	Time time.Duration
-	// PerSecond is how many requests a second it bears then; 0 if it bears any number.
+	// PerSecond is the request rate that a cold target can handle; 0 means unlimited.
 	PerSecond float64
 }
 
 // EngineSpec describes a pool's engines.
 type EngineSpec struct {
-	// TokensPerEvent is how many tokens one event of a stream holds.
+	// TokensPerEvent is the number of tokens in one event of a stream.
 	TokensPerEvent int
 }
 
-// Limits bound what a customer or a route may send; zero means unbounded.
+// Limits limit what a customer or a route may send; zero means unlimited.
 type Limits struct {
 	RequestsPerSecond float64
 	TokensPerSecond   float64
-	// RequestBurst and TokenBurst are what may come above the rates at once; zero
-	// means the rate of one second.
+	// RequestBurst and TokenBurst are the burst sizes above the rates; zero means the amount of one
+	// second at the rate.
 	RequestBurst float64
 	TokenBurst   float64
-	// PlainTokens is what a request without a token count is charged, in tokens.
+	// PlainTokens is the number of tokens charged for a request that declares no token count.
 	PlainTokens int
 }
 
-// Customer is one paying user of the system.
+// Customer pays for requests.
 type Customer struct {
 	Name CustomerName
 	// TokenHashes are SHA-256 hashes of the customer's bearer tokens.
 	TokenHashes [][]byte
-	// Weight is the customer's share inside a tier; 1 is usual.
+	// Weight is the customer's share within a tier; the usual value is 1.
 	Weight float64
-	// Rank orders customers before the tiers of their routes; 0 is first.
+	// Rank orders customers and takes precedence over the tiers of their routes; 0 comes first.
 	Rank   int
 	Limits Limits
-	// Homes are the regions that the customer's requests may be served in.
+	// Homes are the regions that may serve the customer's requests.
 	Homes Homes
-	// Routes are the routes the customer may call; empty means all.
+	// Routes are the routes that the customer may call; empty means all.
 	Routes []RouteName
-	// Tiers overrides a route's tier for this customer.
+	// Tiers overrides the tier of a route for this customer.
 	Tiers map[RouteName]Tier
-	// Legacy keeps routes of this customer on an old address until moved.
+	// Legacy maps routes of this customer that have not been migrated yet to the old address that still
+	// serves them.
 	Legacy map[RouteName]string
 }
 
-// RouteKind tells how a route is called.
+// RouteKind is the way in which a route is called.
 type RouteKind uint8
 
 // The kinds of route.
 const (
-	// RouteCompletion is called as an OpenAI-style completion.
+	// RouteCompletion is called with an OpenAI-style completion API.
 	RouteCompletion RouteKind = iota + 1
-	// RouteService is called by method and path.
+	// RouteService is matched by method and path.
 	RouteService
-	// RouteStream is called by host and path and answered by a series of events.
+	// RouteStream is matched by host and path and answered with a stream of events.
 	RouteStream
 )
 
-// Route is one thing that callers can ask for.
+// Route is an endpoint that callers can request.
 type Route struct {
 	Name RouteName
 	Kind RouteKind
 	Pool PoolName
 	Tier Tier
-	// Method and Path match a service route; Path uses net/http's patterns.
+	// Method and Path match a service route; Path is a pattern of net/http.
 	Method string
 	Path   string
-	// Repeatable says that a call may run twice without harm.
+	// Repeatable is set if calls are idempotent: a call may run twice without harm.
 	Repeatable bool
-	// Deadline bounds the whole answer from arrival.
+	// Deadline is the maximum time from the arrival of a request to the end of its response.
 	Deadline time.Duration
-	// FirstToken is the objective for the first token; zero means none.
+	// FirstToken is the objective for the time to the first token; zero means none.
 	FirstToken time.Duration
-	// ObjectiveShare is the share of requests to be answered in time, 0 to 1.
+	// ObjectiveShare is the share of requests, from 0 to 1, that must be answered in time.
 	ObjectiveShare float64
-	// MaxPromptTokens and MaxOutputTokens bound one request, in tokens.
+	// MaxPromptTokens and MaxOutputTokens limit a single request, in tokens.
 	MaxPromptTokens int
 	MaxOutputTokens int
 	Limits          Limits
-	// Legacy keeps the whole route on an old address until it is moved.
+	// Legacy is the old address that serves the whole route until it is migrated.
 	Legacy string
-	// Host and PathPrefix match a route by host; the longest prefix wins.
+	// Host and PathPrefix match a route by its host; the longest prefix wins.
 	Host       string
 	PathPrefix string
-	// Shares splits the route between pools by weight; empty means all to Pool.
+	// Shares splits the route's requests between pools by weight; if empty, all go to Pool.
 	Shares []PoolShare
-	// Goal is when the answer, or a stream's first event, is due for its full worth.
+	// Goal is the latency objective of the response, or of the first event of a stream. A later
+	// response counts less than its full value.
 	Goal time.Duration
-	// EventGap is the longest pause between events that keeps a stream in time.
+	// EventGap is the longest gap between two events with which a stream still counts as in time.
 	EventGap time.Duration
-	// MaxAttempts is how many targets one request may be sent to.
+	// MaxAttempts is the maximum number of targets that one request may be sent to.
 	MaxAttempts int
-	// Public says that callers need no key.
+	// Public is set if callers need no key.
 	Public bool
-	// Resumable says that a broken stream may go on at another target.
+	// Resumable is set if a broken stream may be resumed at another target.
 	Resumable bool
-	// Homes are the regions that the route's requests may be served in; those of the customer
-	// count too.
+	// Homes are the regions that may serve the route's requests. The customer's Homes apply as well.
 	Homes Homes
 }
 
-// PoolShare is a pool's part of a route.
+// PoolShare is the weight of one pool in a route.
 type PoolShare struct {
 	Pool   PoolName
 	Weight int
 }
 
-// Target is one back end.
+// Target is a back end that serves requests.
 type Target struct {
 	Name       TargetName
 	Kind       TargetKind
@@ -182,45 +184,44 @@
 	DataCentre DataCentre
 	// Address is the target's base URL.
 	Address string
-	// Leaving says that the target gets no new work.
+	// Leaving is set if the target is draining and gets no new requests.
 	Leaving bool
-	// Born is when the target's process started, by its own clock; zero if it doesn't tell.
+	// Born is the start time of the target's process by its own clock; zero if it is not reported.
 	Born time.Time
-	// Version is the software that the target runs; empty if it doesn't tell.
+	// Version is the version of the software that the target runs; empty if it is not reported.
 	Version TargetVersion
-	// ColdFor is how much longer the target was cold when it wrote its entry.
+	// ColdFor is the remaining time of the target's cold start when the target wrote its entry.
 	ColdFor time.Duration
-	// Slots is how many requests the target works on at once.
+	// Slots is the number of requests that the target processes concurrently.
 	Slots int
-	// PrefillRate is the declared speed of reading prompts, in tokens a second.
+	// PrefillRate is the declared prefill speed, in prompt tokens per second.
 	PrefillRate float64
-	// StepTime is the declared duration of one decoding step, or of one call
-	// of a plain service.
+	// StepTime is the declared duration of one decoding step, or of one call of a plain service.
 	StepTime time.Duration
 	// CacheTokens is the size of the prefix cache, in tokens.
 	CacheTokens int
-	// Generation names the hardware.
+	// Generation is the hardware generation.
 	Generation string
-	// ChecksFences says that the target refuses orders with an old epoch.
+	// ChecksFences is set if the target rejects requests that carry an outdated fencing token (epoch).
 	ChecksFences bool
-	// Shared says that senders other than this system use the target too.
+	// Shared is set if senders outside this system use the target too.
 	Shared bool
 }
 
-// SameLife reports that two entries of a target are of the same start of its process, as
-// far as they tell.
+// SameLife reports whether two entries of a target may come from the same process: their start times
+// are equal, or one of them is not reported.
 func (t Target) SameLife(other Target) bool {
 	return t.Born.IsZero() || other.Born.IsZero() || t.Born.Equal(other.Born)
 }
 
-// Head points at the bundle in force.
+// Head identifies the bundle in force.
 type Head struct {
 	Revision Revision
 	// Digest is the SHA-256 of the signed bundle, in hexadecimal.
 	Digest string
 }
 
-// Pool returns the pool of that name.
+// Pool returns the pool with the given name.
 func (b *Bundle) Pool(name PoolName) (Pool, bool) {
 	for _, pool := range b.Pools {
 		if pool.Name == name {
@@ -230,7 +231,7 @@
 	return Pool{}, false
 }
 
-// Route returns the route of that name.
+// Route returns the route with the given name.
 func (b *Bundle) Route(name RouteName) (Route, bool) {
 	for _, route := range b.Routes {
 		if route.Name == name {
@@ -240,7 +241,7 @@
 	return Route{}, false
 }
 
-// PoolTargets returns the targets of a pool, leaving ones included.
+// PoolTargets returns all targets of a pool, including those that are draining.
 func (b *Bundle) PoolTargets(name PoolName) []Target {
 	var targets []Target
 	for _, target := range b.Targets {
--- a/catalog.go
+++ b/catalog.go
@@ -6,94 +6,95 @@
 	"time"
 )
 
-// ErrHistoryGone means that the store no longer has the changes asked for; the
-// whole must be read again.
+// ErrHistoryGone means that the store no longer has the requested changes, so that everything must be
+// read again.
 var ErrHistoryGone = errors.New("history of changes is gone")
 
-// Configuration is a bundle without targets, as an operator has put it in force.
+// Configuration is a bundle without targets, as put in force by an operator.
 type Configuration struct {
 	Revision Revision
 	Bundle   *Bundle
-	// Encoded is the form that instances hand to each other.
+	// Encoded is the encoding in which instances exchange the configuration.
 	Encoded []byte
-	// Flaws are the fields that can't be read, of a configuration that is in force all the same.
+	// Flaws are the fields that can't be parsed. They don't prevent the configuration from being in
+	// force.
 	Flaws []Flaw
 }
 
-// Flaw is a field of a configuration that can't be read.
+// Flaw is a field of a configuration that can't be parsed.
 type Flaw struct {
-	// Place is the field, with the name of what it belongs to, such as route r1: Homes.
+	// Place names the field and what it belongs to, such as "route r1: AllowedRegions".
 	Place string
-	// Reason says what is wrong.
+	// Reason is the parse error.
 	Reason error
-	// Effect says what holds instead.
+	// Effect describes what applies instead.
 	Effect string
 }
 
-// ConfigurationUpdate is the answer to one read of the configuration.
+// ConfigurationUpdate is the result of one read of the configuration.
 type ConfigurationUpdate struct {
 	// Configuration is nil if nothing has changed.
 	Configuration *Configuration
-	// Rollouts are orders to move pools that were read, with how far they have come; with
-	// none newer that had been given when the source stood at Cursor.
+	// Rollouts are the rollouts that were read, with their progress. They include the newest of all
+	// that had been ordered at the source's position Cursor.
 	Rollouts []Rollout
-	// Evacuations are what was read of data centres to evacuate.
+	// Evacuations are the changes that were read of evacuated data centres.
 	Evacuations EvacuationUpdate
-	// UnreadableOrders are entries that should be orders and aren't.
+	// UnreadableOrders are entries in the place of rollout orders that are not valid orders.
 	UnreadableOrders []UnreadableOrder
-	// Cursor is where the next read goes on.
+	// Cursor is the position from which the next read continues.
 	Cursor uint64
 }
 
-// UnreadableOrder is an entry among the orders that orders nothing.
+// UnreadableOrder is an entry that should be a rollout order but is not valid.
 type UnreadableOrder struct {
 	Name string
-	// Reason says what is wrong, with the field.
+	// Reason is the error, including the name of the field.
 	Reason error
 }
 
-// TargetsUpdate is the answer to one read of the list of targets.
+// TargetsUpdate is the result of one read of the list of targets.
 type TargetsUpdate struct {
-	// Whole says that Changed is the whole list.
+	// Whole is set if Changed is the full list, not only the changes.
 	Whole   bool
 	Changed []Target
 	Removed []TargetName
-	// Unreadable are entries that name no target to use.
+	// Unreadable are entries that don't describe a usable target.
 	Unreadable []UnreadableTarget
-	// Version orders the lists: a list with a greater one is newer.
+	// Version orders the lists: a newer list has a greater version.
 	Version uint64
-	// Cursor is where the next read goes on.
+	// Cursor is the position from which the next read continues.
 	Cursor uint64
 }
 
-// UnreadableTarget is an entry of the list that names no target to use, as another writer
-// may leave it.
+// UnreadableTarget is an entry of the list that doesn't describe a usable target. Other programs write
+// to the list too.
 type UnreadableTarget struct {
 	Name TargetName
-	// Reason says what is wrong, with the field.
+	// Reason is the error, including the name of the field.
 	Reason error
 }
 
-// CatalogSource is where configuration and targets are kept. Errors are
-// ErrHistoryGone or ErrUnavailable, possibly wrapped. A read ends by itself when the
-// source falls silent, however long an answer that goes on may take.
+// CatalogSource is the store of the configuration and the targets. Errors are ErrHistoryGone or
+// ErrUnavailable, possibly wrapped. A read has an idle timeout but no total one: it fails when the
+// source stops sending, however long a response that makes progress may take.
 type CatalogSource interface {
-	// ReadConfiguration returns the configuration as it stands.
+	// ReadConfiguration returns the current configuration.
 	ReadConfiguration(ctx context.Context) (ConfigurationUpdate, error)
-	// AwaitConfiguration waits for one after the cursor, at most so long.
+	// AwaitConfiguration waits up to the given time for a configuration newer than the cursor.
 	AwaitConfiguration(ctx context.Context, cursor uint64, wait time.Duration) (ConfigurationUpdate, error)
 	// ReadTargets returns all targets.
 	ReadTargets(ctx context.Context) (TargetsUpdate, error)
-	// AwaitTargets waits for changes after the cursor, at most so long.
+	// AwaitTargets waits up to the given time for changes after the cursor.
 	AwaitTargets(ctx context.Context, cursor uint64, wait time.Duration) (TargetsUpdate, error)
-	// DecodeConfiguration reads the form that instances hand to each other.
+	// DecodeConfiguration decodes the encoding in which instances exchange the configuration.
 	DecodeConfiguration(encoded []byte) (*Configuration, error)
 }
 
-// InstanceDirectory is where instances leave their addresses for each other.
+// InstanceDirectory is where instances register their addresses for each other.
 type InstanceDirectory interface {
-	// Announce writes this instance's address into a part of the directory.
+	// Announce registers this instance's address in a part of the directory.
 	Announce(ctx context.Context, part string, instance Instance) error
-	// InstancesIn returns all that have announced themselves in a part, some long gone.
+	// InstancesIn returns all instances registered in a part, including some that ended long ago.
 	InstancesIn(ctx context.Context, part string) ([]Instance, error)
 }
--- a/clock.go
+++ b/clock.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Later returns the later of two instants.
+// Later returns the later of two times.
 func Later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -10,10 +10,9 @@
 	return b
 }
 
-// Clock tells the time; clockwork's real and fake clocks both satisfy it.
+// Clock is a source of time; the real and fake clocks of clockwork implement it.
 type Clock interface {
-	// Now returns the current instant.
 	Now() time.Time
-	// After returns a channel that receives once the duration has passed.
+	// After returns a channel that receives a value once the duration has passed.
 	After(d time.Duration) <-chan time.Time
 }
--- a/doc.go
+++ b/doc.go
@@ -1,5 +1,5 @@
-// Package shelfshelf holds the domain types and every interface of the request
-// scheduler: what a bundle declares, what a caller asks, what a policy decides,
-// and what the platform and the targets offer. Implementations live in the
-// packages below it; this package imports none of them and does no I/O.
+// Package shelfshelf holds the domain types and all interfaces of the request scheduler: the declared
+// configuration (bundle), callers' requests, scheduling decisions, and what the platform and the
+// targets provide. The packages below it implement the interfaces; this package imports none of them
+// and does no I/O.
 package shelfshelf
--- a/evacuation.go
+++ b/evacuation.go
@@ -1,19 +1,20 @@
 package shelfshelf
 
-// Evacuated is which data centres' targets are to get nothing new, by the operator's word.
+// Evacuated holds the data centres whose targets get no new requests because an operator evacuates
+// them.
 type Evacuated struct {
 	DataCentres []DataCentre
-	// AsOf is the version of the store of which there are no others; 0 if nothing is known. A greater
-	// one is newer.
+	// AsOf is the position of the store at which the list was complete; 0 if nothing is known. A
+	// greater one is newer.
 	AsOf uint64
 }
 
-// EvacuationUpdate is what one read of the store has brought of evacuations.
+// EvacuationUpdate is the part of one read of the store that concerns evacuations.
 type EvacuationUpdate struct {
-	// Whole says that there are no others than those of Begun.
+	// Whole is set if Begun is the full list of evacuated data centres, not only the changes.
 	Whole bool
 	Begun []DataCentre
 	Ended []DataCentre
-	// AsOf is the version of the store up to which that holds.
+	// AsOf is the position of the store up to which the update holds.
 	AsOf uint64
 }
--- a/homes.go
+++ b/homes.go
@@ -2,19 +2,19 @@
 
 import "slices"
 
-// Homes are the regions that a request may be served in; the zero value allows all.
+// Homes are the regions that may serve a request; the zero value allows all.
 type Homes struct {
-	// Bound says that no other regions than Regions are allowed, of which there may be none.
+	// Bound is set if only Regions are allowed; Regions may then be empty, which allows none.
 	Bound   bool
 	Regions []Region
 }
 
-// Allows reports that a request may be served in a region.
+// Allows reports whether a request may be served in a region.
 func (h Homes) Allows(region Region) bool {
 	return !h.Bound || slices.Contains(h.Regions, region)
 }
 
-// And returns the regions that both allow.
+// And returns the intersection: the regions that both allow.
 func (h Homes) And(other Homes) Homes {
 	switch {
 	case !h.Bound:
--- a/names.go
+++ b/names.go
@@ -2,44 +2,44 @@
 
 import "strconv"
 
-// RequestID names one request across all instances; entries draw it at random.
+// RequestID identifies a request across all instances; the instance that receives the request generates
+// it at random.
 type RequestID string
 
-// InstanceID names one entry instance, as its settings give it.
+// InstanceID identifies an instance; it comes from the instance's settings.
 type InstanceID string
 
-// TargetName names one target of the bundle.
+// TargetName identifies a target of the bundle.
 type TargetName string
 
-// CustomerName names one customer of the bundle.
+// CustomerName identifies a customer of the bundle.
 type CustomerName string
 
-// RouteName names one route of the bundle.
+// RouteName identifies a route of the bundle.
 type RouteName string
 
-// PoolName names one pool of the bundle.
+// PoolName identifies a pool of the bundle.
 type PoolName string
 
-// DataCentre names the place an instance or a target runs in.
+// DataCentre is the name of the data centre that an instance or a target runs in.
 type DataCentre string
 
-// Region names a group of data centres.
+// Region is the name of a group of data centres.
 type Region string
 
-// Tier ranks requests; 0 is the highest and is shed last.
+// Tier is the priority of requests; 0 is the highest and is shed last.
 type Tier int
 
-// Revision counts accepted bundles; it only ever grows.
+// Revision is the number of an accepted bundle; it only ever increases.
 type Revision uint64
 
-// Epoch is a lease's fencing token; a later holder has a greater one.
+// Epoch is the fencing token of a lease; each later holder has a greater one.
 type Epoch uint64
 
-// Shard is one part of a pool that a single owner decides for.
+// Shard is a part of a pool whose requests are scheduled by a single owner.
 type Shard struct {
-	// Pool is the pool that the shard is a part of.
 	Pool PoolName
-	// Index counts the shards of a pool from 0; today every pool has one.
+	// Index numbers the shards of a pool from 0; currently every pool has a single shard.
 	Index int
 }
 
--- a/position.go
+++ b/position.go
@@ -1,13 +1,13 @@
 package shelfshelf
 
-// eraShift is where the era stands in a position; versions below it count some 9,000 years of
-// 1,000 writes a second.
+// eraShift is the bit offset of the era in a position. The 48 bits below it are enough for about 9,000
+// years of 1,000 writes per second.
 const eraShift = 48
 
-// PositionOf returns where the store stands, in one number that only rises: its era, which rises
-// each time it comes back from an older copy, then its version, which goes back then and is given
-// out again. Rows, lists and feeds are compared by it. A version of 0, as of an absent row, has no
-// position.
+// PositionOf combines the store's era and version into one number that only increases. The store's
+// version goes back when the store is restored from an older copy, and the same versions are then
+// assigned again; the era increases with each such restore. Rows, lists and feeds are compared by
+// position. Version 0, as of an absent row, has position 0.
 func PositionOf(era, version uint64) uint64 {
 	if version == 0 {
 		return 0
@@ -18,5 +18,5 @@
 // EraOf returns the era of a position.
 func EraOf(position uint64) uint64 { return position >> eraShift }
 
-// VersionOf returns the version of a position, as the store counts it.
+// VersionOf returns the store's own version number in a position.
 func VersionOf(position uint64) uint64 { return position & (1<<eraShift - 1) }
