--- a/announced.go
+++ b/announced.go
@@ -5,41 +5,43 @@
 	"time"
 )
 
-// RateLimit is what a target takes from all instances together, for as long as its answers
-// say so.
+// RateLimit is the total request rate that a target accepts from all instances together. It applies for
+// as long as the target's responses announce it.
 type RateLimit struct {
-	// Named says that there is a limit.
+	// Named is set if the target has announced a limit.
 	Named bool
-	// PerSecond is how many requests a second it takes.
+	// PerSecond is the limit in requests per second.
 	PerSecond float64
 }
 
-// Valid reports that the limit is a number of requests that is not negative.
+// Valid reports whether the limit is a finite number that is not negative.
 func (l RateLimit) Valid() bool {
 	return !math.IsNaN(l.PerSecond) && !math.IsInf(l.PerSecond, 0) && l.PerSecond >= 0
 }
 
-// TargetWord is what an instance knows that a target has said of itself in its answers.
+// TargetWord is what an instance knows of the announcements that a target makes in its response
+// headers: its rate limit, that it is draining, and a back-off period.
 type TargetWord struct {
 	Target TargetKey
-	// Born is the life of the target that has said it; zero if targets don't tell their
-	// lives. What a later life says goes before it, whatever it is.
+	// Born is the start time of the target's process that made the announcement; zero if targets don't
+	// report it. An announcement of a later process always replaces that of an earlier one.
 	Born time.Time
-	// Limit is how many requests the target takes.
+	// Limit is the rate limit that the target announced.
 	Limit RateLimit
-	// Version grows with each change of the limit within a life; the highest counts, whatever
-	// clocks say and however late a message is. It is 0 where no limit was ever named.
+	// Version increases with each change of the limit by the same process. The highest version wins,
+	// independent of clocks and of delayed messages. It is 0 if no limit was ever announced.
 	Version uint64
-	// Leaving says that the target is about to stop; it never takes that back within a life.
+	// Leaving is set once the target has announced that it is about to stop; the same process never
+	// revokes that.
 	Leaving bool
-	// RestUntil is when the rest ends that the target has asked this instance for, which is no
-	// word to others; it never ends sooner.
+	// RestUntil is the end of the back-off that the target has asked of this instance alone, so it is
+	// not passed on to other instances. It is never moved to an earlier time.
 	RestUntil time.Time
 }
 
-// Announcements is what targets have said of themselves, at whichever instance. It is safe
-// for concurrent use.
+// Announcements holds the announcements of targets that any instance has received. It is safe for
+// concurrent use.
 type Announcements interface {
-	// Said returns what a target has said; only Target is set if it has said nothing.
+	// Said returns the current announcement of a target; only Target is set if there is none.
 	Said(target TargetKey) TargetWord
 }
--- a/call.go
+++ b/call.go
@@ -6,95 +6,96 @@
 	"time"
 )
 
-// ErrBadCall means that a caller's headers can't be read.
+// ErrBadCall means that the caller's headers are malformed.
 var ErrBadCall = errors.New("malformed request headers")
 
-// PromptPart is one piece of a prompt; equal IDs hold equal tokens.
+// PromptPart is a part of a prompt; parts with the same ID hold the same tokens.
 type PromptPart struct {
 	ID     string
 	Tokens int
 }
 
-// Call is what a caller says of its request, decoded from the wire.
+// Call holds the decoded headers of a caller's request.
 type Call struct {
-	// ID is the caller's name for this try; another try has another ID.
+	// ID is the caller's identifier of this attempt; a retry by the caller has another ID.
 	ID RequestID
-	// Key is the bearer key; empty if none was sent.
+	// Key is the bearer token; empty if none was sent.
 	Key string
-	// Patience is how long the caller waits, from when it sent the request.
+	// Patience is the caller's timeout, counted from when the caller sent the request.
 	Patience time.Duration
-	// Model is the model asked for; empty for plain services.
+	// Model is the requested model; empty for plain services.
 	Model string
-	// PromptTokens and MaxOutputTokens are the sizes that the caller declares; both
-	// are zero where Counted is false.
+	// PromptTokens and MaxOutputTokens are the sizes that the caller declares. Counted is set if they
+	// are known; otherwise both are zero.
 	PromptTokens    int
 	MaxOutputTokens int
 	Counted         bool
-	// OutputHint is the caller's estimate of the answer, in tokens; 0 if none.
+	// OutputHint is the caller's estimate of the response length in tokens; 0 if there is none.
 	OutputHint int
 	// Prompt lists the parts of the prompt in order.
 	Prompt []PromptPart
-	// LastEventID is the last event that the caller has; empty at a start.
+	// LastEventID is the last event that the caller has received; empty if the stream starts from the
+	// beginning.
 	LastEventID string
 }
 
-// Attempt is one sending of a call to one target.
+// Attempt is one dispatch of a call to one target.
 type Attempt struct {
 	Target Target
-	// Customer is the holder of the caller's key; empty on public routes.
+	// Customer is the owner of the caller's key; empty on public routes.
 	Customer CustomerName
-	// Left is the time that the target may take.
+	// Left is the time that the target has for its response.
 	Left time.Duration
-	// LastEventID makes a stream go on after that event; empty at a start.
+	// LastEventID makes the target resume the stream after that event; empty to start from the
+	// beginning.
 	LastEventID string
 }
 
-// Answer is what a target says of its answer in the headers.
+// Answer holds the status and the decoded headers of a target's response.
 type Answer struct {
 	Status int
-	// ID is the call that the answer belongs to.
+	// ID is the request ID that the response belongs to.
 	ID RequestID
-	// NotRun says that the target has not run the call and never will.
+	// NotRun is set if the target guarantees that it has not executed the call and never will.
 	NotRun bool
-	// OtherTarget says that the target isn't the one that was meant.
+	// OtherTarget is set if the responding target is not the one that the request was meant for.
 	OtherTarget bool
-	// Genuine says that the answer is signed by the target.
+	// Genuine is set if the response carries a signature of the target.
 	Genuine bool
-	// Running, Waiting and Slots are the target's load; LoadKnown says they are set.
+	// Running, Waiting and Slots are the load of the target; LoadKnown is set if the target reported
+	// it.
 	Running   int
 	Waiting   int
 	Slots     int
 	LoadKnown bool
-	// Pace is how long work takes at the target now, 1 being as usual, where others share its
-	// machine; 0 if it doesn't say.
+	// Pace is the current processing time of the target relative to its usual one (1), for targets that
+	// share their machine with others; 0 if it is not reported.
 	Pace float64
-	// Limit is what the target says that it takes, and LimitUnread what it says of it that
-	// can't be read, empty if all can.
+	// Limit is the announced rate limit. LimitUnread is the text of a limit header that could not be
+	// parsed, or else empty.
 	Limit       RateLimit
 	LimitUnread string
-	// Leaving says that the target is about to stop and wants nothing more, and
-	// LeavingUnread what it says of that that can't be read.
+	// Leaving is set if the target announces that it is about to stop and wants no more requests.
+	// LeavingUnread is the text of the header if it could not be parsed.
 	Leaving       bool
 	LeavingUnread string
-	// Rest is for how long a target that has turned the request away wants nothing more of
-	// this instance, 0 if it doesn't say, and RestUnread what it says of that that can't be
-	// read.
+	// Rest is the back-off that a target asks of this instance when it rejects a request; 0 if there is
+	// none. RestUnread is the text of the header if it could not be parsed.
 	Rest       time.Duration
 	RestUnread string
 }
 
-// Announces reports that a target says something with its answer that concerns the requests
-// after it too.
+// Announces reports whether the response announces something that concerns later requests too.
 func (a Answer) Announces() bool { return a.Limit.Named || a.Leaving || a.Rest > 0 }
 
-// CallCodec reads and writes the headers of calls and answers.
+// CallCodec decodes and encodes the headers of requests and responses.
 type CallCodec interface {
-	// Call reads what a caller says; the error is ErrBadCall.
+	// Call decodes a caller's request headers; the error is ErrBadCall.
 	Call(header http.Header) (Call, error)
-	// AttemptHeader returns the headers for one attempt at a target.
+	// AttemptHeader returns the request headers for one attempt at a target.
 	AttemptHeader(caller http.Header, attempt Attempt) http.Header
-	// Answer reads what a target says.
+	// Answer decodes the status and headers of a target's response.
 	Answer(status int, header http.Header) Answer
-	// CallerHeader returns the headers of an answer as the caller gets them.
+	// CallerHeader returns the response headers to send to the caller, given those of the target.
 	CallerHeader(target http.Header) http.Header
 }
--- a/heartbeat.go
+++ b/heartbeat.go
@@ -5,50 +5,50 @@
 	"time"
 )
 
-// Heartbeat is what instances tell each other every so often, both ways.
+// Heartbeat is the state that two instances exchange periodically, in both directions.
 type Heartbeat struct {
 	From Instance
-	// Incarnation grows each time an instance with the same name starts.
+	// Incarnation increases each time an instance with the same name starts.
 	Incarnation uint64
 	// Head is the bundle in force at the sender.
 	Head Head
-	// StoreSeen says that the sender knows of a read of the store's head, by itself
-	// or by another instance, StoreAge ago.
+	// StoreSeen is set if the sender knows when the store's head was last read, by itself or by another
+	// instance. StoreAge is the time since that read.
 	StoreSeen bool
 	StoreAge  time.Duration
-	// Leaving lists targets that the sender knows to be leaving.
+	// Leaving lists the targets that the sender knows to be draining.
 	Leaving []TargetName
-	// Known lists the instances that the sender hears.
+	// Known lists the instances from which the sender receives heartbeats.
 	Known []Instance
-	// Crashes are ends of targets of which the sender has learnt lately.
+	// Crashes are the crashes of targets that the sender has recently learnt of.
 	Crashes []Crash
 }
 
-// Peers is the way to other instances.
+// Peers is the client for requests to other instances.
 type Peers interface {
-	// Heartbeat sends one and returns the other side's.
+	// Heartbeat sends a heartbeat and returns that of the other instance.
 	Heartbeat(ctx context.Context, to Instance, beat Heartbeat) (Heartbeat, error)
-	// Ask asks the owner of a pool; errors are ErrOwnerUnreachable or the
-	// context's.
+	// Ask requests a decision from the owner of a pool; errors are ErrOwnerUnreachable or that of the
+	// context.
 	Ask(ctx context.Context, to Instance, ask Ask) (Ticket, error)
-	// Hold tells a new owner of a request that an earlier one has granted. The
-	// ticket carries the decision given.
+	// Hold registers a request with the new owner of its pool that an earlier owner has granted. The
+	// returned ticket holds the earlier decision.
 	Hold(ctx context.Context, to Instance, ask Ask, decision Decision) (Ticket, error)
-	// GetObject fetches a signed bundle by its digest.
+	// GetObject returns the signed bundle with the given digest.
 	GetObject(ctx context.Context, to Instance, digest string) ([]byte, error)
 }
 
-// PeerHandler is what an instance does for others.
+// PeerHandler handles the requests of other instances.
 type PeerHandler interface {
-	// Heard takes another instance's heartbeat and returns ours.
+	// Heard processes another instance's heartbeat and returns that of this instance.
 	Heard(beat Heartbeat) Heartbeat
-	// AskOwner decides on another entry's request.
+	// AskOwner decides on a request that another instance received.
 	AskOwner(ctx context.Context, ask Ask) (Decision, error)
-	// HoldOwner counts another entry's request that is in flight already.
+	// HoldOwner registers a request of another instance that is in flight already.
 	HoldOwner(ask Ask, target TargetName)
-	// FirstTokenOwner and DoneOwner go on with another entry's request.
+	// FirstTokenOwner and DoneOwner record the progress of another instance's request.
 	FirstTokenOwner(pool PoolName, id RequestID)
 	DoneOwner(pool PoolName, completion Completion)
-	// Object returns a signed bundle by its digest, if this instance has it.
+	// Object returns the signed bundle with the given digest, if this instance has it.
 	Object(digest string) ([]byte, bool)
 }
--- a/outcome.go
+++ b/outcome.go
@@ -1,19 +1,19 @@
 package shelfshelf
 
-// Outcome says what became of a request; the three values are never mixed.
+// Outcome is the result of a request. Its three values are strictly distinguished.
 type Outcome uint8
 
 // The outcomes of a request.
 const (
-	// OutcomeUnknown means the request may have run; it must not be dispatched again.
+	// OutcomeUnknown means that the request may have run; it must not be dispatched again.
 	OutcomeUnknown Outcome = iota
-	// OutcomeDone means the caller has the whole answer.
+	// OutcomeDone means that the caller has received the whole response.
 	OutcomeDone
 	// OutcomeNotRun means that provably no target ran the request.
 	OutcomeNotRun
 )
 
-// String returns the outcome as callers see it in a header.
+// String returns the text sent to callers in a header.
 func (o Outcome) String() string {
 	switch o {
 	case OutcomeDone:
--- a/sockets.go
+++ b/sockets.go
@@ -5,12 +5,12 @@
 	"net"
 )
 
-// Sockets is what a machine's network offers.
+// Sockets is the network interface of a machine.
 type Sockets interface {
-	// Listen takes connections at an IP and port.
+	// Listen accepts connections at an IP address and port.
 	Listen(address string) (net.Listener, error)
-	// ListenPacket takes datagrams at an IP and port.
+	// ListenPacket receives datagrams at an IP address and port.
 	ListenPacket(address string) (net.PacketConn, error)
-	// Dial opens a connection, as net.Dialer's DialContext does.
+	// Dial opens a connection like net.Dialer's DialContext.
 	Dial(ctx context.Context, network, address string) (net.Conn, error)
 }
--- a/target.go
+++ b/target.go
@@ -9,70 +9,70 @@
 // ErrNotRun means that the target provably did not run the request.
 var ErrNotRun = errors.New("not run by the target")
 
-// ErrRejected means that the target found the request itself wrong, and did not
-// run it; no other target would. It comes together with ErrNotRun.
+// ErrRejected means that the target rejected the request itself as invalid without running it, so that
+// no other target would accept it. It is always joined with ErrNotRun.
 var ErrRejected = errors.New("request rejected by the target")
 
-// ErrBroken means that the answer is not whole and the request may have run.
+// ErrBroken means that the response is incomplete and the request may have run.
 var ErrBroken = errors.New("answer broken off")
 
-// CompletionCall is one model request as it is sent to an engine.
+// CompletionCall is a model request as sent to an engine.
 type CompletionCall struct {
 	ID RequestID
-	// Path is the engine's endpoint, such as /v1/completions.
+	// Path is the path of the engine's endpoint, such as /v1/completions.
 	Path string
-	// Body is the JSON request, its model already set for the engine.
+	// Body is the JSON request, with the model name already replaced by the engine's.
 	Body     []byte
 	Priority int
 }
 
-// EngineChunk is one server-sent event of an engine's answer.
+// EngineChunk is one server-sent event of an engine's response.
 type EngineChunk struct {
-	// Index counts the events of a stream from 0.
+	// Index numbers the events of a stream from 0.
 	Index int
 	// Data is the event's JSON.
 	Data []byte
-	// Tokens is how many tokens the event carries.
+	// Tokens is the number of tokens in the event.
 	Tokens int
-	// CacheKnown says that the event tells how much of the prompt was held.
+	// CacheKnown is set if the event reports how many prompt tokens were cached.
 	CacheKnown bool
-	// CachedTokens is how much of the prompt the engine held, in tokens.
+	// CachedTokens is the number of prompt tokens that the engine had cached.
 	CachedTokens int
 }
 
-// EngineClient talks to model engines.
+// EngineClient sends requests to model engines.
 type EngineClient interface {
-	// Complete runs a call and hands each chunk to emit in order, each once.
-	// It returns nil only if the answer was whole, an error that is ErrNotRun
-	// if the engine did not run it, else one that is ErrBroken.
+	// Complete runs a call and passes each chunk of the response to emit, in order and exactly once. It
+	// returns nil only if the response was complete, ErrNotRun if the engine did not run the call, and
+	// otherwise ErrBroken; the errors may be wrapped.
 	Complete(ctx context.Context, target Target, call CompletionCall, emit func(EngineChunk) error) error
 	// Load returns the engine's load report.
 	Load(ctx context.Context, target Target) (LoadReport, error)
-	// CacheEvents returns the engine's events after the given sequence number.
+	// CacheEvents returns the engine's cache events after the given sequence number.
 	CacheEvents(ctx context.Context, target Target, after uint64) ([]CacheEvent, error)
 }
 
-// ServiceCall is one plain request as it is sent to a service.
+// ServiceCall is a request as sent to a plain service.
 type ServiceCall struct {
 	ID     RequestID
 	Method string
-	// Path is the request's path and query.
+	// Path is the path and query of the request.
 	Path   string
 	Header http.Header
 	Body   []byte
-	// Repeatable says that the call may run twice without harm.
+	// Repeatable is set if the call is idempotent: it may run twice without harm.
 	Repeatable bool
 }
 
-// ServiceAnswer is a plain service's whole answer.
+// ServiceAnswer is the whole response of a plain service.
 type ServiceAnswer struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// ServiceClient talks to plain services.
+// ServiceClient sends requests to plain services.
 type ServiceClient interface {
-	// Call runs a call once; errors are ErrNotRun or ErrBroken as for engines.
+	// Call runs a call once; errors are ErrNotRun or ErrBroken, as for engines.
 	Call(ctx context.Context, target Target, call ServiceCall) (ServiceAnswer, error)
 }
