--- a/crash.go
+++ b/crash.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// CrashID names one end of a target's process; all instances that saw it agree on it.
+// CrashID identifies one crash of a target's process; all instances that observed it derive the same
+// ID.
 type CrashID uint64
 
-// Crash is the end of a target's process, without a word before, while it ran requests.
+// Crash is the unannounced end of a target's process while it had requests in flight.
 type Crash struct {
 	ID CrashID
-	// Age is how long ago it was.
+	// Age is the time since the crash.
 	Age time.Duration
-	// Runs are the requests that the target ran.
+	// Runs are the requests that were in flight at the target.
 	Runs []CrashedRun
 }
 
-// CrashedRun is a request that ran at a target when it ended.
+// CrashedRun is a request that was in flight at a target when the target crashed.
 type CrashedRun struct {
 	Request Fingerprint
-	// Outlived says that another run of the request has come to its end since, so that
-	// this end was not its doing.
+	// Outlived is set if another run of the request has completed since, so that the request is not the
+	// cause of the crash.
 	Outlived bool
 }
 
-// CrashStore keeps what is known of crashes, for instances that start after all have
-// ended.
+// CrashStore persists the known crashes for instances that start after all others have ended.
 type CrashStore interface {
-	// SaveCrashes replaces what is kept.
+	// SaveCrashes replaces the stored crashes.
 	SaveCrashes(ctx context.Context, crashes []Crash) error
-	// LoadCrashes returns what is kept; the error is ErrNotFound if nothing is.
+	// LoadCrashes returns the stored crashes; the error is ErrNotFound if none are stored.
 	LoadCrashes(ctx context.Context) ([]Crash, error)
 }
--- a/rollout.go
+++ b/rollout.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// TargetVersion names the software that a target runs; empty if it doesn't tell.
+// TargetVersion is the version of the software that a target runs; empty if it is not reported.
 type TargetVersion string
 
-// RolloutState is how far an order to move a pool to another version has come.
+// RolloutState is the progress of a rollout.
 type RolloutState uint8
 
 const (
-	// RolloutOrdered means that nobody has taken it up yet.
+	// RolloutOrdered means that no instance has started the rollout yet.
 	RolloutOrdered RolloutState = iota
-	// RolloutServing means that a small part of the requests tries the new version.
+	// RolloutServing means that a small share of the requests is sent to the new version as a trial.
 	RolloutServing
-	// RolloutMoving means that the new version was found good and takes over.
+	// RolloutMoving means that the trial has passed and traffic is shifting to the new version.
 	RolloutMoving
-	// RolloutCompleted means that the old targets get nothing any more.
+	// RolloutCompleted means that the old targets get no more requests.
 	RolloutCompleted
-	// RolloutRolledBack means that the new version gets nothing any more.
+	// RolloutRolledBack means that the new version gets no more requests.
 	RolloutRolledBack
 )
 
@@ -41,39 +41,39 @@
 	return "unspecified"
 }
 
-// Over reports that an order has come to its end, which nothing changes.
+// Over reports whether the rollout has ended; these states are final.
 func (s RolloutState) Over() bool { return s == RolloutCompleted || s == RolloutRolledBack }
 
-// Rollout is an operator's order to move a pool's requests to targets of another version,
-// and how far it has come.
+// Rollout is an operator's order to move a pool's requests to targets of another version, together with
+// its progress.
 type Rollout struct {
 	Pool PoolName
-	// Revision orders the orders of a pool: a greater one replaces the others.
+	// Revision orders the rollouts of a pool: one with a greater revision replaces the others.
 	Revision uint64
 	Version  TargetVersion
-	// Period is the time from the order within which it should be over.
+	// Period is the time, counted from the order, within which the rollout should end.
 	Period time.Duration
-	// Age is how long ago the order was given.
+	// Age is the time since the order was given.
 	Age   time.Duration
 	State RolloutState
-	// Moving is how long ago the new version began to take over; zero before.
+	// Moving is the time since traffic began to shift to the new version; zero before that.
 	Moving time.Duration
-	// Doubted is the order's age until which what was counted speaks against the new version but
-	// doesn't suffice: more is tried of it until then.
+	// Doubted is the age of the order until which the trial gets a larger share of the requests,
+	// because the results so far speak against the new version but are not conclusive.
 	Doubted time.Duration
-	// Halted says that an instance holds the new version for bad: none sends it anything
-	// from then on, also before that is written down.
+	// Halted is set once an instance has judged the new version to be bad. From then on no instance
+	// sends requests to it, even before the result is stored.
 	Halted bool
-	// Barred are versions of earlier orders that were given up or replaced before they were
-	// over: nobody knows that they are good.
+	// Barred are the versions of earlier rollouts that were rolled back or replaced before they had
+	// ended; none of them is known to be good.
 	Barred []TargetVersion
-	// Stored is the version of the row that the end is kept in; 0 if there is none yet.
+	// Stored is the version of the row in which the result is stored; 0 if there is none yet.
 	Stored uint64
 }
 
-// Adds reports that what one instance knows of a pool's order is news to one that knows
-// something else: a later order, or anything more of the same one. Both may know what the
-// other doesn't.
+// Adds reports whether r holds information about a pool's rollout that known lacks: it is of a later
+// order, or of the same order with a later state, a new halt, a newer stored row or a longer trial. This
+// can be true in both directions.
 func (r Rollout) Adds(known Rollout) bool {
 	if r.Revision != known.Revision {
 		return r.Revision > known.Revision
@@ -81,42 +81,41 @@
 	return r.State > known.State || r.Halted && !known.Halted || r.Stored > known.Stored || r.Doubted > known.Doubted
 }
 
-// RolloutStore keeps how far orders have come, and tells the operator.
+// RolloutStore persists the progress of rollouts and publishes it to the operator.
 type RolloutStore interface {
-	// SaveRollout writes down how far an order has come, if what is kept has the version
-	// that the order says, and returns the new one. The error is ErrConflict if it
-	// doesn't, ErrAmbiguous if the write may have been done.
+	// SaveRollout stores the progress of a rollout if the stored row still has the version in
+	// rollout.Stored, and returns the new version. The error is ErrConflict if the row has another
+	// version, and ErrAmbiguous if the write may have taken effect.
 	SaveRollout(ctx context.Context, rollout Rollout) (stored uint64, err error)
-	// LoadRollouts returns what is kept; the ages are as of now.
+	// LoadRollouts returns the stored rollouts, with their ages as of now.
 	LoadRollouts(ctx context.Context) ([]Rollout, error)
 }
 
-// VersionChoice says which targets of a pool one request may go to.
+// VersionChoice restricts the targets of a pool that one request may be sent to, by version.
 type VersionChoice struct {
-	// Ordered says that versions are told apart at all.
+	// Ordered is set if there is any restriction.
 	Ordered bool
 	Version TargetVersion
-	// New says that the request goes to targets of Version, else to all others.
+	// New is set if the request goes to targets of Version, and unset if it goes to all others.
 	New bool
-	// Trial says that the request tries the new version and goes to the others at once if
-	// there is no place for it there.
+	// Trial is set if the request tries the new version first. It goes to the other targets at once if
+	// no target of the new version has a free slot.
 	Trial bool
-	// Canaries are the only targets of Version that a trial goes to.
+	// Canaries are the only targets of Version that a trial request may be sent to; empty means all.
 	Canaries map[TargetName]bool
-	// Barred are versions that get nothing at all, but for Version.
+	// Barred are versions that get no requests at all, unless they equal Version.
 	Barred []TargetVersion
-	// Others says that only Retired counts: all but these targets may be used.
+	// Others is set if all targets but those in Retired may be used, apart from Barred.
 	Others  bool
 	Retired map[TargetName]bool
 }
 
-// Old returns the choice of the targets that serve, for a request that is not to try the
-// new version.
+// Old returns the choice for a request that must not try the new version.
 func (c VersionChoice) Old() VersionChoice {
 	return VersionChoice{Ordered: c.Ordered, Version: c.Version, Barred: c.Barred, Others: c.Others, Retired: c.Retired}
 }
 
-// Allows reports that the request may go to a target.
+// Allows reports whether the request may be sent to a target.
 func (c VersionChoice) Allows(target Target) bool {
 	if !c.Ordered {
 		return true
@@ -133,26 +132,27 @@
 	return target.Version == c.Version && (len(c.Canaries) == 0 || c.Canaries[target.Name])
 }
 
-// AttemptReport is what one request has shown of its target.
+// AttemptReport is the result of one request, as evidence about its target.
 type AttemptReport struct {
 	Route RouteName
-	// Failed says that the target ran the request and did not answer as it should.
+	// Failed is set if the target ran the request but did not respond correctly.
 	Failed bool
-	// First is the time to the first event, or to a plain answer, against what is expected
-	// of a usual target; Pace the same for the time of one token. Zero if not known.
+	// First is the time to the first event, or to a plain response, relative to that expected of a
+	// typical target. Pace is the same ratio for the time per token. Zero means not known.
 	First float64
 	Pace  float64
 }
 
-// Rollouts says which versions of a pool get requests, and learns how they did. It is safe
-// for concurrent use.
+// Rollouts chooses which versions of a pool get requests, and collects the results of the requests. It
+// is safe for concurrent use.
 type Rollouts interface {
-	// Choose says where the next request of a pool may go; targets are all of the pool.
+	// Choose returns where the next request of a pool may be sent; targets must be all targets of the
+	// pool.
 	Choose(pool PoolName, targets []Target) VersionChoice
-	// Began notes that a request was given a place at a target, Unsent that it did not
-	// reach it after all.
+	// Began records that a request was assigned to a target. Unsent records that it was not sent to the
+	// target after all.
 	Began(target Target)
 	Unsent(target Target)
-	// Ended takes what a request that reached a target has shown of it.
+	// Ended records the result of a request that reached a target.
 	Ended(target Target, report AttemptReport)
 }
--- a/status.go
+++ b/status.go
@@ -5,126 +5,123 @@
 	"time"
 )
 
-// Status is what one instance tells the others of its data centre, again and
-// again; a newer one replaces an older one whole, so that a lost message does no
-// harm.
+// Status is the message that an instance repeatedly sends to the other instances of its data centre.
+// Each status replaces the previous one completely, so that lost messages do no harm.
 type Status struct {
 	From Instance
-	// Incarnation grows each time an instance with the same name starts.
+	// Incarnation increases each time an instance with the same name starts.
 	Incarnation uint64
-	// Sequence counts the statuses of an incarnation.
+	// Sequence numbers the statuses of an incarnation.
 	Sequence uint64
-	// Revision is the configuration in force at the sender, 0 for none, and
-	// RevisionAge how long ago it was known to be the newest.
+	// Revision is the configuration in force at the sender, 0 if there is none. RevisionAge is the time
+	// since it was last known to be the newest.
 	Revision    Revision
 	RevisionAge time.Duration
-	// TargetsVersion orders lists of targets, and TargetsAge is the list's age.
+	// TargetsVersion is the version of the sender's list of targets, and TargetsAge the age of the
+	// list.
 	TargetsVersion uint64
 	TargetsAge     time.Duration
-	// SourceLost says that the sender's reads of the platform's store fail.
+	// SourceLost is set if the sender's reads of the platform's store fail.
 	SourceLost bool
-	// Settled says that the sender has seen the whole window that limits count in, and
-	// Recalled that it knows what was used before it started, as far as anybody does.
+	// Settled is set if the sender has been running for a whole quota window. Recalled is set if it has
+	// learnt, as far as any instance knows, what was used before it started.
 	Settled  bool
 	Recalled bool
-	// Loads is what the sender has in flight at targets, and Uses what customers have
-	// used there.
+	// Loads is the load that the sender has in flight at targets. Uses is what customers have used at
+	// the sender.
 	Loads []TargetLoad
 	Uses  []CustomerUse
-	// EndedUses is what customers had used at instances of the data centre that have ended
-	// or are silent; one that has just started learns of its own earlier life by it.
+	// EndedUses is what customers had used at instances of the data centre that have ended or are
+	// silent. A restarted instance learns from it what it had used before the restart.
 	EndedUses []CustomerUse
-	// Speeds are observations of targets since the sender's last status.
+	// Speeds are the observed speeds of targets since the sender's last status.
 	Speeds []TargetSpeed
-	// Crashes are ends of targets of which the sender has learnt lately, and CrashesHash is
-	// the same for all who know the same of them.
+	// Crashes are the crashes of targets that the sender has recently learnt of. CrashesHash is equal
+	// for all instances that know the same crashes.
 	Crashes     []Crash
 	CrashesHash uint64
-	// Words are what targets have said of themselves, as far as the sender knows; of many,
-	// each status tells a part.
+	// Words are the announcements of targets that the sender knows. If there are many, each status
+	// contains a part of them.
 	Words []TargetWord
-	// Rollouts are the orders to move pools that the sender knows, all that had been given
-	// when the store stood at OrdersAsOf.
+	// Rollouts are the rollouts that the sender knows. They include all that had been ordered at the
+	// store's position OrdersAsOf.
 	Rollouts   []Rollout
 	OrdersAsOf uint64
-	// Evacuated is which data centres are evacuated, as far as the sender knows.
+	// Evacuated holds the data centres that are evacuated, as far as the sender knows.
 	Evacuated Evacuated
-	// Digests are the words of other data centres that the sender has had since its
-	// last status.
+	// Digests are the digests of other data centres that the sender has received since its last status.
 	Digests []Digest
 }
 
-// Digest is what one data centre tells another of all its instances.
+// Digest summarizes the state of all instances of one data centre for other data centres.
 type Digest struct {
 	DataCentre DataCentre
-	// Age is how long ago the digest was made.
+	// Age is the time since the digest was created.
 	Age time.Duration
-	// Instances is how many instances the data centre's own see.
+	// Instances is the number of instances that the data centre's own instances see.
 	Instances int
-	// Settled says that its sender has seen the whole window that limits count in.
+	// Settled is set if the digest's sender has been running for a whole quota window.
 	Settled bool
 	// Members are the instances of the data centre that may own engines.
 	Members []Member
 	Loads   []TargetLoad
 	Uses    []CustomerUse
-	// Speeds are means of what the data centre has observed lately.
+	// Speeds are the means of what the data centre has observed recently.
 	Speeds []TargetSpeed
 }
 
-// Member is an instance of a data centre that is heard there and stays.
+// Member is an instance of a data centre that is heard from there and is not shutting down.
 type Member struct {
-	// Hash is drawn from the instance's name.
+	// Hash is a hash of the instance's name.
 	Hash    uint64
 	Address netip.AddrPort
 }
 
-// TargetKey is a short form of a target's name for messages; see KeyOfTarget.
+// TargetKey is a hash of a target's name, used in messages for its size; see KeyOfTarget.
 type TargetKey uint32
 
-// TargetLoad is what is in flight at one target.
+// TargetLoad is the load in flight at one target.
 type TargetLoad struct {
 	Target TargetKey
-	// Requests are in flight, Prefilling those of them whose prompts the target has
-	// still to read, and PrefillTokens the length of these.
+	// Requests is the number of requests in flight, and Prefilling the number of those whose prompts
+	// are still to be prefilled. PrefillTokens is the total length of the latter's prompts.
 	Requests      int
 	Prefilling    int
 	PrefillTokens int
 }
 
-// TargetSpeed is how fast a target was seen to work; zero means not seen.
+// TargetSpeed is the observed speed of a target; zero means not observed.
 type TargetSpeed struct {
 	Target TargetKey
-	// PrefillRate is the speed of reading prompts, in tokens a millisecond.
+	// PrefillRate is the prefill speed, in prompt tokens per millisecond.
 	PrefillRate float64
-	// Step is the time of one token of an answer.
+	// Step is the time per output token.
 	Step time.Duration
 }
 
-// CustomerKey is a short form of a customer's name for messages; see
-// KeyOfCustomer.
+// CustomerKey is a hash of a customer's name, used in messages for its size; see KeyOfCustomer.
 type CustomerKey uint32
 
-// CustomerUse is what a customer has used within the window of its limit, in the
-// limit's unit.
+// CustomerUse is what a customer has used within the window of its limit, in the unit of the limit.
 type CustomerUse struct {
 	Customer CustomerKey
 	Amount   float64
 }
 
-// UseParts is how many parts of the window a saved use tells apart.
+// UseParts is the number of time buckets that a saved use divides the window into.
 const UseParts = 8
 
-// SavedUse is what a customer had used at the instances of a data centre, in its limit's
-// unit, by equal parts of the window; the newest stands first.
+// SavedUse is what a customer had used at the instances of a data centre, in the unit of its limit, by
+// equal time buckets of the window; the newest bucket comes first.
 type SavedUse struct {
 	DataCentre DataCentre
 	Customer   CustomerKey
 	Parts      [UseParts]float64
 }
 
-// SavedUses is what customers had used at all instances when it was saved.
+// SavedUses is what customers had used at all instances at the time of saving.
 type SavedUses struct {
 	Uses []SavedUse
-	// Age is how long ago that was.
+	// Age is the time since it was saved.
 	Age time.Duration
 }
