--- a/announced/change.go
+++ b/announced/change.go
@@ -6,55 +6,57 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-// change is what became of a word, for those who have to hear of it.
-type change struct {
-	target shelfshelf.TargetName
-	word   shelfshelf.TargetWord
-	// limit, leaving and rest say what has changed, logged that the limit's line is due, and
-	// restLogged that the rest's is.
-	limit      bool
-	leaving    bool
-	rest       bool
-	logged     bool
-	restLogged bool
+// announcementChange describes how an announcement has changed, for the log and Record.Changed.
+type announcementChange struct {
+	target       shelfshelf.TargetName
+	announcement shelfshelf.TargetWord
+	// limitReportDue means that a changed limit is due to be logged and, if this instance read it, sent
+	// to the others at once. restLogDue means that a changed rest is due to be logged.
+	limitChanged   bool
+	leavingChanged bool
+	restChanged    bool
+	limitReportDue bool
+	restLogDue     bool
 }
 
-// changed compares a word with what it was; the lock is held.
-func (r *Record) changed(before shelfshelf.TargetWord, w *word, now time.Time) change {
-	c := change{
-		target: r.listed[w.Target].Name, word: w.TargetWord,
-		limit: before.Limit != w.Limit, leaving: before.Leaving != w.Leaving,
-		rest: !before.RestUntil.Equal(w.RestUntil),
+// detectChange compares an announcement with its previous state and updates its times of change and of
+// logging. The lock must be held.
+func (r *Record) detectChange(previous shelfshelf.TargetWord, a *announcement, now time.Time) announcementChange {
+	c := announcementChange{
+		target: r.listed[a.Target].Name, announcement: a.TargetWord,
+		limitChanged: previous.Limit != a.Limit, leavingChanged: previous.Leaving != a.Leaving,
+		restChanged: !previous.RestUntil.Equal(a.RestUntil),
 	}
-	if before.Version != w.Version || c.limit || c.leaving {
-		w.changedAt = now
+	if previous.Version != a.Version || c.limitChanged || c.leavingChanged {
+		a.changedAt = now
 	}
-	c.logged = c.limit && now.Sub(w.loggedAt) >= logPause
-	if c.logged {
-		w.loggedAt = now
+	c.limitReportDue = c.limitChanged && now.Sub(a.limitLoggedAt) >= minLogInterval
+	if c.limitReportDue {
+		a.limitLoggedAt = now
 	}
-	c.restLogged = c.rest && now.Sub(w.restLoggedAt) >= logPause
-	if c.restLogged {
-		w.restLoggedAt = now
+	c.restLogDue = c.restChanged && now.Sub(a.restLoggedAt) >= minLogInterval
+	if c.restLogDue {
+		a.restLoggedAt = now
 	}
 	return c
 }
 
-// report tells of a change, outside the lock.
-func (r *Record) report(c change, own bool) {
-	if !c.limit && !c.leaving && !c.rest {
+// reportChange logs a change and calls Changed; own means that this instance read it from a response.
+// The lock must not be held.
+func (r *Record) reportChange(c announcementChange, own bool) {
+	if !c.limitChanged && !c.leavingChanged && !c.restChanged {
 		return
 	}
-	if c.logged {
-		r.Log.Info("A target's limit has changed.", "target", c.target, "named", c.word.Limit.Named,
-			"perSecond", c.word.Limit.PerSecond, "own", own)
+	if c.limitReportDue {
+		r.Log.Info("The rate limit of a target changed.", "target", c.target, "named", c.announcement.Limit.Named,
+			"perSecond", c.announcement.Limit.PerSecond, "own", own)
 	}
-	if c.leaving {
-		r.Log.Info("A target's word of leaving has changed.", "target", c.target, "leaving", c.word.Leaving,
-			"born", c.word.Born, "own", own)
+	if c.leavingChanged {
+		r.Log.Info("The shutdown announcement of a target changed.", "target", c.target, "leaving", c.announcement.Leaving,
+			"born", c.announcement.Born, "own", own)
 	}
-	if c.restLogged {
-		r.Log.Info("A target wants rest.", "target", c.target, "left", c.word.RestUntil.Sub(r.Clock.Now()))
+	if c.restLogDue {
+		r.Log.Info("A target asked for a rest.", "target", c.target, "left", c.announcement.RestUntil.Sub(r.Clock.Now()))
 	}
-	r.Changed(c.word.Target, own && (c.logged || c.leaving))
+	r.Changed(c.announcement.Target, own && (c.limitReportDue || c.leavingChanged))
 }
--- a/announced/doc.go
+++ b/announced/doc.go
@@ -1,11 +1,11 @@
-// Package announced knows what targets say of themselves in their answers: how many requests a
-// second one takes from all instances together, for as long as its answers say so; that it
-// leaves, which holds for the rest of its life; and for how long it wants nothing more of this
-// instance after it has turned a request away.
+// Package announced records what targets announce about themselves in their responses: a rate
+// limit, in requests per second from all instances together, which applies for as long as their
+// responses carry it; that the target is shutting down, which holds until its process ends; and a
+// rest, the time for which it wants no further requests from this instance after it rejected one.
 //
-// Every answer that this instance reads is told to the Record, whoever asked for it, and
-// instances tell each other what they know, but for rests, with their statuses and with each ask
+// Every response that this instance reads is passed to the Record, whichever component sent the
+// request. Instances share all announcements except rests, in their statuses and in each request
 // for a place.
-// A Gate gives out sends at a rate; the owner of a target's places keeps one for each target
-// with a limit (package places).
+// A Gate is a token bucket that limits the rate of sends. The instance that owns a target's places
+// keeps one for each target with a limit (see package places).
 package announced
--- a/announced/limit.go
+++ b/announced/limit.go
@@ -6,40 +6,40 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-// sameShare is by how much a limit may differ from the one known and still count as the same: a
-// figure that differs a little in each answer is no news.
-const sameShare = 0.05
+// limitTolerance is the relative difference up to which a limit counts as unchanged, so that a value
+// that varies slightly from response to response is not reported each time.
+const limitTolerance = 0.05
 
-// newLimit reports that an answer changes the limit that is known of its target's life, and notes
-// where it names the same again.
-func newLimit(w *word, known shelfshelf.TargetWord, limit shelfshelf.RateLimit, sent, now time.Time) bool {
+// noteLimit reports whether a response changes the known limit of its target's process. If the
+// response repeats that limit, noteLimit updates limitSeenAt.
+func noteLimit(a *announcement, known shelfshelf.TargetWord, limit shelfshelf.RateLimit, sent, now time.Time) bool {
 	switch {
-	case limit.Named && same(known.Limit, limit):
-		w.namedAt = now
+	case limit.Named && sameLimit(known.Limit, limit):
+		a.limitSeenAt = now
 		return false
 	case limit.Named:
 		return true
 	}
-	return known.Limit.Named && sent.After(w.namedAt)
+	return known.Limit.Named && sent.After(a.limitSeenAt)
 }
 
-// same reports that two limits are as good as equal.
-func same(known, limit shelfshelf.RateLimit) bool {
+// sameLimit reports whether two limits are equal within limitTolerance.
+func sameLimit(known, limit shelfshelf.RateLimit) bool {
 	if !known.Named {
 		return false
 	}
-	least, most := known.PerSecond*(1-sameShare), known.PerSecond*(1+sameShare)
-	return limit.PerSecond >= least && limit.PerSecond <= most
+	lowest, highest := known.PerSecond*(1-limitTolerance), known.PerSecond*(1+limitTolerance)
+	return limit.PerSecond >= lowest && limit.PerSecond <= highest
 }
 
-// newer reports that a limit goes before the one known. Of two that were read at the same
-// moment the smaller one does.
-func newer(told shelfshelf.TargetWord, w *word) bool {
+// supersedes reports whether a received limit replaces the known one. Of two limits with the same
+// version, which were read concurrently, the smaller one wins.
+func supersedes(received shelfshelf.TargetWord, a *announcement) bool {
 	switch {
-	case told.Version != w.Version:
-		return told.Version > w.Version
-	case told.Limit.Named != w.Limit.Named:
-		return told.Limit.Named
+	case received.Version != a.Version:
+		return received.Version > a.Version
+	case received.Limit.Named != a.Limit.Named:
+		return received.Limit.Named
 	}
-	return told.Limit.PerSecond < w.Limit.PerSecond
+	return received.Limit.PerSecond < a.Limit.PerSecond
 }
--- a/announced/record.go
+++ b/announced/record.go
@@ -10,188 +10,190 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-// logPause is the least time between two lines, and between two statuses out of turn, on one
-// target.
-const logPause = time.Second
+// minLogInterval is the least time between two log lines, and between two unscheduled statuses, about
+// one target's limit. It also applies to log lines about rests and, over all targets, about unreadable
+// announcements.
+const minLogInterval = time.Second
 
-// Record is what targets have said of themselves. Fields are set before use. It is safe for
-// concurrent use.
+// Record holds what targets have announced about themselves. Set the exported fields before use. It is
+// safe for concurrent use.
 type Record struct {
 	Clock shelfshelf.Clock
 	Log   *log.Logger
-	// Changed is called after a target has said something new; tell says that this instance
-	// read it itself, so that the others have to hear of it, and that the last such change
-	// of the target was not just now.
+	// Changed is called after an announcement of a target has changed. tell requests an immediate
+	// status to the other instances: this instance read the change from a response, and it is a
+	// shutdown or a limit that did not also change within the last minLogInterval.
 	Changed func(target shelfshelf.TargetKey, tell bool)
 
-	// known is how many words there are; mostly none, and then answers take no lock.
-	known atomic.Int64
-	mu    sync.Mutex
-	words map[shelfshelf.TargetKey]*word
-	// listed are the targets that there are.
+	// announcementCount is the number of announcements. It is usually 0, and then responses are
+	// processed without the lock.
+	announcementCount atomic.Int64
+	mu                sync.Mutex
+	announcements     map[shelfshelf.TargetKey]*announcement
+	// listed holds the current list of targets.
 	listed map[shelfshelf.TargetKey]shelfshelf.Target
-	// next is where the next status goes on.
-	next shelfshelf.TargetKey
-	// unreadAt is when the log last had a line on a word that can't be read.
-	unreadAt time.Time
+	// nextKey is the key at which the next status continues the rotation.
+	nextKey shelfshelf.TargetKey
+	// unreadableLoggedAt is when an unreadable announcement was last logged.
+	unreadableLoggedAt time.Time
 }
 
-// word is what a target has said in its latest life that is known.
-type word struct {
+// announcement is what a target has announced in its latest known process.
+type announcement struct {
 	shelfshelf.TargetWord
-	// knownAt is when this instance learnt of the life, changedAt when of the latest change
-	// that others have to hear of, and namedAt when it last read or heard that there is a limit.
-	knownAt   time.Time
-	changedAt time.Time
-	namedAt   time.Time
-	// loggedAt is when the log had a line on its limit, and restLoggedAt on its rest.
-	loggedAt     time.Time
-	restLoggedAt time.Time
-	// listedAt is when the target was last known to be listed.
-	listedAt time.Time
+	// firstSeenAt is when this instance learnt of the process, changedAt when it learnt of the latest
+	// change that is sent to others, and limitSeenAt when it last read of a limit or received a newer one.
+	firstSeenAt time.Time
+	changedAt   time.Time
+	limitSeenAt time.Time
+	// limitLoggedAt and restLoggedAt are when its limit and its rest were last logged.
+	limitLoggedAt time.Time
+	restLoggedAt  time.Time
+	// lastListedAt is when the target was last known to be listed.
+	lastListedAt time.Time
 }
 
-// Answered takes what a target says with its answer to a request that was sent at an instant.
-// An answer without a limit ends one only if its request was sent after the limit was known
-// here: heads of answers pass each other on their way.
+// Answered processes the announcements in a target's response to a request that was sent at the given
+// time. A response without a limit ends a known limit only if its request was sent after this instance
+// learnt of that limit, because response headers can arrive out of order.
 func (r *Record) Answered(target shelfshelf.Target, answer shelfshelf.Answer, sent time.Time) {
-	r.reportUnread(target.Name, "limit", answer.LimitUnread)
-	r.reportUnread(target.Name, "leaving", answer.LeavingUnread)
-	r.reportUnread(target.Name, "rest", answer.RestUnread)
-	unsaid := !answer.Announces() && r.known.Load() == 0
-	if unsaid || answer.OtherTarget {
+	r.logUnreadable(target.Name, "limit", answer.LimitUnread)
+	r.logUnreadable(target.Name, "leaving", answer.LeavingUnread)
+	r.logUnreadable(target.Name, "rest", answer.RestUnread)
+	nothingToDo := !answer.Announces() && r.announcementCount.Load() == 0
+	if nothingToDo || answer.OtherTarget {
 		return
 	}
-	c := r.read(target, answer, sent)
+	c := r.observe(target, answer, sent)
 	c.target = target.Name
-	r.report(c, true)
+	r.reportChange(c, true)
 }
 
-// reportUnread logs what can't be read of a target's word, which changes nothing; an empty text
-// is nothing of that kind.
-func (r *Record) reportUnread(target shelfshelf.TargetName, word, text string) {
+// logUnreadable logs an announcement that can't be parsed and is ignored. An empty text means that there
+// is none.
+func (r *Record) logUnreadable(target shelfshelf.TargetName, kind, text string) {
 	if text == "" {
 		return
 	}
 	r.mu.Lock()
 	now := r.Clock.Now()
-	report := now.Sub(r.unreadAt) >= logPause
-	if report {
-		r.unreadAt = now
+	due := now.Sub(r.unreadableLoggedAt) >= minLogInterval
+	if due {
+		r.unreadableLoggedAt = now
 	}
 	r.mu.Unlock()
-	if report {
-		r.Log.Warn("A target's word can't be read and changes nothing.", "target", target, "word", word, "text", text)
+	if due {
+		r.Log.Warn("An announcement of a target is unreadable and is ignored.", "target", target, "word", kind, "text", text)
 	}
 }
 
-// read takes what this instance has read itself.
-func (r *Record) read(target shelfshelf.Target, answer shelfshelf.Answer, sent time.Time) change {
+// observe merges the announcements of a response that this instance read.
+func (r *Record) observe(target shelfshelf.Target, answer shelfshelf.Answer, sent time.Time) announcementChange {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	key := shelfshelf.KeyOfTarget(target.Name)
-	w := r.words[key]
-	if w == nil && !answer.Announces() || w != nil && later(w.Born, target.Born) {
-		return change{}
+	a := r.announcements[key]
+	if a == nil && !answer.Announces() || a != nil && startedLater(a.Born, target.Born) {
+		return announcementChange{}
 	}
 	now := r.Clock.Now()
-	told := shelfshelf.TargetWord{Target: key, Born: target.Born, Leaving: answer.Leaving}
-	if w != nil && !later(target.Born, w.Born) {
-		told.Version, told.Limit = w.Version, w.Limit
+	received := shelfshelf.TargetWord{Target: key, Born: target.Born, Leaving: answer.Leaving}
+	if a != nil && !startedLater(target.Born, a.Born) {
+		received.Version, received.Limit = a.Version, a.Limit
 	}
-	if answer.LimitUnread == "" && newLimit(w, told, answer.Limit, sent, now) {
-		told.Version++
-		told.Limit = answer.Limit
+	if answer.LimitUnread == "" && noteLimit(a, received, answer.Limit, sent, now) {
+		received.Version++
+		received.Limit = answer.Limit
 	}
 	if answer.Rest > 0 {
-		told.RestUntil = now.Add(answer.Rest)
+		received.RestUntil = now.Add(answer.Rest)
 	}
-	return r.take(told, now)
+	return r.merge(received, now)
 }
 
-// Heard takes what another instance knows.
-func (r *Record) Heard(words []shelfshelf.TargetWord) {
-	for _, told := range words {
-		r.report(r.hear(told), false)
+// Heard merges announcements received from another instance.
+func (r *Record) Heard(announcements []shelfshelf.TargetWord) {
+	for _, received := range announcements {
+		r.reportChange(r.receive(received), false)
 	}
 }
 
-func (r *Record) hear(told shelfshelf.TargetWord) change {
+func (r *Record) receive(received shelfshelf.TargetWord) announcementChange {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.words[told.Target] == nil && told.Version == 0 && !told.Leaving && told.Born.IsZero() {
-		return change{}
+	if r.announcements[received.Target] == nil && received.Version == 0 && !received.Leaving && received.Born.IsZero() {
+		return announcementChange{}
 	}
-	return r.take(told, r.Clock.Now())
+	return r.merge(received, r.Clock.Now())
 }
 
-// take joins a word with the one known; the lock is held. Joins come out the same in whatever
-// order words come and however often.
-func (r *Record) take(told shelfshelf.TargetWord, now time.Time) change {
-	w := r.words[told.Target]
-	if w != nil && later(w.Born, told.Born) {
-		return change{}
-	}
-	if w == nil {
-		w = newWord(told, now)
-		r.keep(w)
-	}
-	before := w.TargetWord
-	if later(told.Born, w.Born) {
-		news := w.changedAt
-		*w = *newWord(told, now)
-		w.changedAt = news
-	}
-	w.join(told, now)
-	return r.changed(before, w, now)
+// merge merges a received announcement into the known one. The result doesn't depend on the order in
+// which announcements arrive or on how often. The lock must be held.
+func (r *Record) merge(received shelfshelf.TargetWord, now time.Time) announcementChange {
+	a := r.announcements[received.Target]
+	if a != nil && startedLater(a.Born, received.Born) {
+		return announcementChange{}
+	}
+	if a == nil {
+		a = newAnnouncement(received, now)
+		r.add(a)
+	}
+	previous := a.TargetWord
+	if startedLater(received.Born, a.Born) {
+		changedAt := a.changedAt
+		*a = *newAnnouncement(received, now)
+		a.changedAt = changedAt
+	}
+	a.mergeSameProcess(received, now)
+	return r.detectChange(previous, a, now)
 }
 
-// newWord returns the word of a life that has said nothing.
-func newWord(of shelfshelf.TargetWord, now time.Time) *word {
-	return &word{TargetWord: shelfshelf.TargetWord{Target: of.Target, Born: of.Born}, knownAt: now, listedAt: now}
+// newAnnouncement returns the empty announcement of a target's process.
+func newAnnouncement(like shelfshelf.TargetWord, now time.Time) *announcement {
+	return &announcement{TargetWord: shelfshelf.TargetWord{Target: like.Target, Born: like.Born}, firstSeenAt: now, lastListedAt: now}
 }
 
-// keep adds a word; the lock is held.
-func (r *Record) keep(w *word) {
-	if r.words == nil {
-		r.words = make(map[shelfshelf.TargetKey]*word)
+// add adds an announcement. The lock must be held.
+func (r *Record) add(a *announcement) {
+	if r.announcements == nil {
+		r.announcements = make(map[shelfshelf.TargetKey]*announcement)
 	}
-	r.words[w.Target] = w
-	r.known.Store(int64(len(r.words)))
+	r.announcements[a.Target] = a
+	r.announcementCount.Store(int64(len(r.announcements)))
 }
 
-// later reports that a life is known to have begun after another one.
-func later(born, other time.Time) bool {
+// startedLater reports whether a process is known to have started after another one.
+func startedLater(born, other time.Time) bool {
 	return !born.IsZero() && !other.IsZero() && born.After(other)
 }
 
-// join takes a word of the same life.
-func (w *word) join(told shelfshelf.TargetWord, now time.Time) {
-	if w.Born.IsZero() {
-		w.Born = told.Born
+// mergeSameProcess merges an announcement of the same process.
+func (a *announcement) mergeSameProcess(received shelfshelf.TargetWord, now time.Time) {
+	if a.Born.IsZero() {
+		a.Born = received.Born
 	}
-	w.Leaving = w.Leaving || told.Leaving
-	// A rest that another request is asked for meanwhile may be shorter.
-	if told.RestUntil.After(w.RestUntil) {
-		w.RestUntil = told.RestUntil
+	a.Leaving = a.Leaving || received.Leaving
+	// The response to another request may ask for a rest that ends sooner; the later end applies.
+	if received.RestUntil.After(a.RestUntil) {
+		a.RestUntil = received.RestUntil
 	}
-	if newer(told, w) {
-		w.Limit, w.Version = told.Limit, told.Version
-		if told.Limit.Named {
-			w.namedAt = now
+	if supersedes(received, a) {
+		a.Limit, a.Version = received.Limit, received.Version
+		if received.Limit.Named {
+			a.limitSeenAt = now
 		}
 	}
 }
 
-// Said returns what a target has said.
+// Said returns what a target has announced.
 func (r *Record) Said(target shelfshelf.TargetKey) shelfshelf.TargetWord {
-	if r.known.Load() == 0 {
+	if r.announcementCount.Load() == 0 {
 		return shelfshelf.TargetWord{Target: target}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if w := r.words[target]; w != nil {
-		return w.TargetWord
+	if a := r.announcements[target]; a != nil {
+		return a.TargetWord
 	}
 	return shelfshelf.TargetWord{Target: target}
 }
--- a/announced/record_test.go
+++ b/announced/record_test.go
@@ -22,7 +22,8 @@
 	target = shelfshelf.Target{Name: name}
 )
 
-func named(perSecond float64) shelfshelf.Answer {
+// limited returns a response that announces a limit.
+func limited(perSecond float64) shelfshelf.Answer {
 	return shelfshelf.Answer{Limit: shelfshelf.RateLimit{Named: true, PerSecond: perSecond}}
 }
 
@@ -32,72 +33,74 @@
 	}
 }
 
-// said returns what a record says of the target, with the life that has said it, if it said anything.
-func said(r *announced.Record) shelfshelf.TargetWord {
-	word := r.Said(key)
-	if word.Version == 0 && !word.Leaving {
-		word.Born = time.Time{}
+// announcementOf returns a record's announcement of the target. It clears Born if the target has announced
+// nothing.
+func announcementOf(r *announced.Record) shelfshelf.TargetWord {
+	known := r.Said(key)
+	if known.Version == 0 && !known.Leaving {
+		known.Born = time.Time{}
 	}
-	return word
+	return known
 }
 
-// perSecond returns a target's limit as a record knows it; -1 if there is none.
+// perSecond returns the target's limit in a record, or -1 if there is none.
 func perSecond(r *announced.Record) float64 {
-	told := r.Said(key)
-	if !told.Limit.Named {
+	known := r.Said(key)
+	if !known.Limit.Named {
 		return -1
 	}
-	return told.Limit.PerSecond
+	return known.Limit.PerSecond
 }
 
-// A limit ends with the first answer without one whose request was sent after it was known:
-// heads of answers that are older may come later.
-func TestLimitsEndWithAnAnswerThatKnowsBetter(t *testing.T) {
+// A response without a limit ends a known limit only if its request was sent after the limit was known,
+// because headers of responses to earlier requests can arrive later.
+func TestLimitEndsWithLaterResponseWithoutIt(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	r := newRecord(clock)
 	before := clock.Now()
 	clock.Advance(time.Second)
-	r.Answered(target, named(1.5), before)
+	r.Answered(target, limited(1.5), before)
 	r.Answered(target, shelfshelf.Answer{}, before)
 	if got := perSecond(r); got != 1.5 {
-		t.Errorf("after an answer to an older request: %v", got)
+		t.Errorf("limit after a response to an earlier request: %v", got)
 	}
 	clock.Advance(time.Second)
 	r.Answered(target, shelfshelf.Answer{LimitUnread: "few"}, clock.Now())
 	r.Answered(target, shelfshelf.Answer{OtherTarget: true}, clock.Now())
 	if got := perSecond(r); got != 1.5 {
-		t.Errorf("after a word that can't be read, and one of another target: %v", got)
+		t.Errorf("limit after an unreadable limit and a response from another target: %v", got)
 	}
 	r.Answered(target, shelfshelf.Answer{}, clock.Now())
 	if got := perSecond(r); got != -1 {
-		t.Errorf("after an answer without a limit: %v", got)
+		t.Errorf("limit after a response without one: %v", got)
 	}
 }
 
-// A target that starts again under its name has announced nothing, and one that isn't listed
-// any more is forgotten.
-func TestLimitsBelongToALife(t *testing.T) {
+// A restarted target doesn't inherit the limit of its previous process, and the announcements of an
+// unlisted target are removed.
+func TestLimitBelongsToOneProcess(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	r := newRecord(clock)
 	r.Targets([]shelfshelf.Target{{Name: name, Born: time.Unix(1, 0)}})
-	r.Answered(target, named(2), clock.Now())
+	r.Answered(target, limited(2), clock.Now())
 	r.Targets([]shelfshelf.Target{{Name: name, Born: time.Unix(1, 0)}})
 	if got := perSecond(r); got != 2 {
-		t.Errorf("in the same life: %v", got)
+		t.Errorf("limit in the same process: %v", got)
 	}
 	r.Targets([]shelfshelf.Target{{Name: name, Born: time.Unix(2, 0)}})
 	if got := perSecond(r); got != -1 {
-		t.Errorf("in its second life: %v", got)
+		t.Errorf("limit after a restart: %v", got)
 	}
 	clock.Advance(2 * time.Minute)
 	r.Targets(nil)
-	if told := r.Told(); len(told) != 0 {
-		t.Errorf("%+v", told)
+	if sent := r.Told(); len(sent) != 0 {
+		t.Errorf("announcements of an unlisted target: %+v", sent)
 	}
 }
 
-// Statuses have room for a part only: a change goes first, and all others have their turn.
-func TestManyLimitsAreToldInTurn(t *testing.T) {
+// With more limits than fit into a status, recent changes are in each status and the others are sent in
+// rotation.
+func TestManyLimitsAreSentInRotation(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	r := newRecord(clock)
 	const count = 100
@@ -105,25 +108,25 @@
 		r.Heard([]shelfshelf.TargetWord{{Target: shelfshelf.TargetKey(i + 1), Version: 1, Limit: shelfshelf.RateLimit{Named: true, PerSecond: 1}}})
 	}
 	clock.Advance(5 * time.Second)
-	r.Answered(target, named(3), clock.Now())
+	r.Answered(target, limited(3), clock.Now())
 	seen := make(map[shelfshelf.TargetKey]bool)
 	for range 7 {
-		told := r.Told()
-		if len(told) > 16 || !slices.ContainsFunc(told, func(l shelfshelf.TargetWord) bool { return l.Target == key }) {
-			t.Errorf("%d words, the change is not among them: %+v", len(told), told)
+		sent := r.Told()
+		if len(sent) > 16 || !slices.ContainsFunc(sent, func(l shelfshelf.TargetWord) bool { return l.Target == key }) {
+			t.Errorf("%d announcements (at most 16, with the recent change): %+v", len(sent), sent)
 		}
-		for _, limit := range told {
+		for _, limit := range sent {
 			seen[limit.Target] = true
 		}
 	}
 	if len(seen) != count+1 {
-		t.Errorf("%d of %d were told in 7 statuses", len(seen), count+1)
+		t.Errorf("%d of %d limits were sent in 7 statuses", len(seen), count+1)
 	}
 }
 
-// That a target leaves holds for its life, whatever its later answers and entries say, and also
-// where its entry was gone for a time. Its next life has not said it.
-func TestLeavingHoldsForALife(t *testing.T) {
+// A shutdown announcement lasts for the target's process, whatever later responses and entries say and
+// also if the entry was missing for a time. It doesn't apply to the next process.
+func TestLeavingLastsForOneProcess(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	r := newRecord(clock)
 	first := shelfshelf.Target{Name: name, Born: time.Unix(1, 0)}
@@ -135,34 +138,34 @@
 	r.Answered(first, shelfshelf.Answer{OtherTarget: true}, clock.Now())
 	r.Targets(nil)
 	clock.Advance(10 * time.Minute)
-	if told := r.Told(); len(told) != 0 {
-		t.Errorf("a target that is gone is told of: %+v", told)
+	if sent := r.Told(); len(sent) != 0 {
+		t.Errorf("an unlisted target is sent: %+v", sent)
 	}
 	r.Targets([]shelfshelf.Target{first})
 	if !r.Said(key).Leaving || r.Leaving() != 1 || len(r.Told()) != 1 {
-		t.Errorf("after its entry came back: %+v, told %+v", r.Said(key), r.Told())
+		t.Errorf("after its entry came back: %+v, sent %+v", r.Said(key), r.Told())
 	}
 	first.Leaving = true
 	r.Targets([]shelfshelf.Target{first})
 	if r.Leaving() != 0 || len(r.Told()) != 0 {
-		t.Errorf("what the entry says is told: %+v", r.Told())
+		t.Errorf("a shutdown that the entry shows is sent: %+v", r.Told())
 	}
 	r.Targets([]shelfshelf.Target{second})
 	if r.Said(key).Leaving {
-		t.Error("its second life leaves too")
+		t.Error("the next process inherited the shutdown announcement")
 	}
-	// Words of its first life still come, and the store may list it from an older copy.
+	// Late messages of the first process arrive, and the store lists it again from an older copy.
 	r.Heard([]shelfshelf.TargetWord{{Target: key, Born: first.Born, Leaving: true, Version: 9, Limit: shelfshelf.RateLimit{Named: true}}})
 	r.Answered(first, shelfshelf.Answer{Leaving: true}, clock.Now())
 	r.Targets([]shelfshelf.Target{first})
-	if said := r.Said(key); said.Leaving || said.Limit.Named {
-		t.Errorf("its first life speaks for its second one: %+v", said)
+	if known := r.Said(key); known.Leaving || known.Limit.Named {
+		t.Errorf("announcements of the first process apply to the second: %+v", known)
 	}
 }
 
-// A rest is no word to other instances, outlives the target's entry and ends with its life; of
-// several the one that ends last counts.
-func TestRestIsAskedOfOneInstance(t *testing.T) {
+// A rest is not sent to other instances, is kept while the target is unlisted and ends with its process.
+// Of several rests the one that ends last applies.
+func TestRestIsLocalToOneInstance(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	r := newRecord(clock)
 	first := shelfshelf.Target{Name: name, Born: time.Unix(1, 0)}
@@ -171,45 +174,45 @@
 	for _, rest := range []time.Duration{3 * time.Second, time.Second, 10 * time.Minute, 0} {
 		r.Answered(first, shelfshelf.Answer{Rest: rest}, clock.Now())
 	}
-	if told := r.Told(); len(told) != 0 {
-		t.Errorf("%+v", told)
+	if sent := r.Told(); len(sent) != 0 {
+		t.Errorf("a rest is sent: %+v", sent)
 	}
 	r.Targets(nil)
 	clock.Advance(9 * time.Minute)
 	r.Targets([]shelfshelf.Target{first})
 	if got := r.Said(key).RestUntil.Sub(began); got != 10*time.Minute || r.Resting() != 1 {
-		t.Errorf("it rests for %v, %d rest", got, r.Resting())
+		t.Errorf("rest of %v, %d targets resting", got, r.Resting())
 	}
 	r.Targets([]shelfshelf.Target{{Name: name, Born: time.Unix(2, 0)}})
 	if !r.Said(key).RestUntil.IsZero() || r.Resting() != 0 {
-		t.Errorf("in its second life: %+v", r.Said(key))
+		t.Errorf("after a restart: %+v", r.Said(key))
 	}
 }
 
-// A word that leaves nothing to read changes nothing.
-func TestUnreadWordsChangeNothing(t *testing.T) {
+// Unreadable announcements are ignored without affecting the readable ones beside them.
+func TestUnreadableAnnouncementsAreIgnored(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	r := newRecord(clock)
 	r.Answered(target, shelfshelf.Answer{LeavingUnread: "soon", LimitUnread: "few", RestUnread: "a while"}, clock.Now())
 	r.Answered(target, shelfshelf.Answer{Leaving: true, OtherTarget: true}, clock.Now())
-	if said := r.Said(key); said != (shelfshelf.TargetWord{Target: key}) {
-		t.Errorf("%+v", said)
+	if known := r.Said(key); known != (shelfshelf.TargetWord{Target: key}) {
+		t.Errorf("unreadable announcements were recorded: %+v", known)
 	}
 	r.Answered(target, shelfshelf.Answer{Leaving: true, LimitUnread: "few"}, clock.Now())
 	if !r.Said(key).Leaving {
-		t.Error("beside a limit that can't be read the word of leaving isn't read either")
+		t.Error("a shutdown announcement beside an unreadable limit was ignored")
 	}
 }
 
-// However words are lost, repeated and come in another order, instances that have heard the
-// same say the same, and the word that was read last by one that knew all others counts. Who
-// has read that a target leaves knows it until it hears of a later life.
-func TestInstancesAgreeOnWords(t *testing.T) {
+// Instances converge on the same announcements however messages are lost, repeated and reordered, and
+// the latest one, read by an instance that knew all others, wins. An instance that read a shutdown
+// announcement keeps it until it learns of a later process.
+func TestInstancesConvergeOnAnnouncements(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		lives := rapid.Bool().Draw(t, "lives are told")
+		processesKnown := rapid.Bool().Draw(t, "processes are known")
 		var newest time.Time
 		born := func(t *rapid.T) time.Time {
-			if !lives {
+			if !processesKnown {
 				return time.Time{}
 			}
 			at := time.Unix(rapid.Int64Range(1, 3).Draw(t, "born"), 0)
@@ -218,7 +221,7 @@
 			}
 			return at
 		}
-		var left [4]shelfshelf.TargetWord
+		var leaving [4]shelfshelf.TargetWord
 		clock := clockwork.NewFakeClock()
 		records := make([]*announced.Record, 4)
 		for i := range records {
@@ -230,15 +233,15 @@
 			"read": func(t *rapid.T) {
 				answer := shelfshelf.Answer{}
 				if rapid.Bool().Draw(t, "named") {
-					answer = named(rapid.Float64Range(0, 9).Draw(t, "limit"))
+					answer = limited(rapid.Float64Range(0, 9).Draw(t, "limit"))
 				}
 				answer.Leaving = rapid.IntRange(0, 5).Draw(t, "leaves") == 0
 				clock.Advance(time.Millisecond)
 				by := pick.Draw(t, "by")
 				of := shelfshelf.Target{Name: name, Born: born(t)}
 				records[by].Answered(of, answer, clock.Now())
-				if answer.Leaving && !of.Born.Before(left[by].Born) {
-					left[by] = shelfshelf.TargetWord{Leaving: true, Born: of.Born}
+				if answer.Leaving && !of.Born.Before(leaving[by].Born) {
+					leaving[by] = shelfshelf.TargetWord{Leaving: true, Born: of.Born}
 				}
 			},
 			"list": func(t *rapid.T) {
@@ -246,9 +249,9 @@
 			},
 			"": func(t *rapid.T) {
 				for i, r := range records {
-					said := r.Said(key)
-					if left[i].Leaving && !said.Leaving && !said.Born.After(left[i].Born) {
-						t.Fatalf("%+v, though it leaves: %+v", said, left[i])
+					known := r.Said(key)
+					if leaving[i].Leaving && !known.Leaving && !known.Born.After(leaving[i].Born) {
+						t.Fatalf("lost a shutdown announcement: %+v, read %+v", known, leaving[i])
 					}
 				}
 			},
@@ -261,7 +264,7 @@
 				}
 			},
 		})
-		// All come to read the same list.
+		// In the end all instances read the same list.
 		for _, r := range records {
 			r.Targets([]shelfshelf.Target{{Name: name, Born: newest}})
 		}
@@ -273,18 +276,18 @@
 			}
 		}
 		for _, r := range records[1:] {
-			if diff := cmp.Diff(said(records[0]), said(r)); diff != "" {
+			if diff := cmp.Diff(announcementOf(records[0]), announcementOf(r)); diff != "" {
 				t.Fatal(diff)
 			}
 		}
 		clock.Advance(time.Millisecond)
 		last := rapid.Float64Range(10, 20).Draw(t, "last")
-		records[0].Answered(shelfshelf.Target{Name: name, Born: records[0].Said(key).Born}, named(last), clock.Now())
+		records[0].Answered(shelfshelf.Target{Name: name, Born: records[0].Said(key).Born}, limited(last), clock.Now())
 		for _, r := range records {
 			r.Heard(records[0].Told())
 			r.Heard(append([]shelfshelf.TargetWord(nil), records[1].Told()...))
 			if perSecond(r) != last {
-				t.Fatalf("%v, not %v", perSecond(r), last)
+				t.Fatalf("limit %v, want %v", perSecond(r), last)
 			}
 		}
 	})
--- /dev/null
+++ b/announced/targets.go
@@ -0,0 +1,109 @@
+package announced
+
+import (
+	"time"
+
+	"github.com/shelfshelf/shelfshelf"
+)
+
+const (
+	// endedLimitRetention is how long the end of a limit is remembered, so that older messages that
+	// arrive late don't restore the limit.
+	endedLimitRetention = time.Minute
+	// leavingRetention is how long the shutdown announcement of an unlisted target is kept: an entry
+	// that expired while the store was unavailable comes back for the same process.
+	leavingRetention = time.Hour
+)
+
+// Targets replaces the list of targets. A new process of a target starts without announcements, and
+// those of an unlisted target are removed once late messages about it are no longer expected.
+func (r *Record) Targets(targets []shelfshelf.Target) {
+	for _, c := range r.updateList(targets) {
+		r.reportChange(c, false)
+	}
+}
+
+func (r *Record) updateList(targets []shelfshelf.Target) []announcementChange {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := r.Clock.Now()
+	for key, a := range r.announcements {
+		if _, listed := r.listed[key]; listed {
+			a.lastListedAt = now
+		}
+	}
+	r.listed = make(map[shelfshelf.TargetKey]shelfshelf.Target, len(targets))
+	var changes []announcementChange
+	for _, target := range targets {
+		key := shelfshelf.KeyOfTarget(target.Name)
+		r.listed[key] = target
+		if r.announcements[key] != nil {
+			changes = append(changes, r.merge(shelfshelf.TargetWord{Target: key, Born: target.Born}, now))
+		}
+	}
+	r.removeExpired(now)
+	return changes
+}
+
+// removeExpired removes announcements that no longer matter: limits that ended long ago and those of
+// targets that are gone. The lock must be held.
+func (r *Record) removeExpired(now time.Time) {
+	for key, a := range r.announcements {
+		if !r.retained(a, now) {
+			delete(r.announcements, key)
+		}
+	}
+	r.announcementCount.Store(int64(len(r.announcements)))
+}
+
+// retained reports whether an announcement still matters or older messages about it may still arrive.
+// The lock must be held.
+func (r *Record) retained(a *announcement, now time.Time) bool {
+	_, listed := r.listed[a.Target]
+	switch {
+	case now.Sub(a.firstSeenAt) <= endedLimitRetention, now.Sub(a.changedAt) <= endedLimitRetention, now.Before(a.RestUntil):
+		return true
+	case a.Leaving:
+		return listed || now.Sub(a.lastListedAt) <= leavingRetention
+	}
+	return a.Limit.Named && listed
+}
+
+// Limited returns the number of targets with a rate limit.
+func (r *Record) Limited() int {
+	return r.count(func(a *announcement) bool { return a.Limit.Named })
+}
+
+// Leaving returns the number of listed targets that announce their shutdown in responses but not in their
+// entries.
+func (r *Record) Leaving() int {
+	return r.count(r.onlyAnswersSayLeaving)
+}
+
+// Resting returns the number of listed targets whose rest, asked of this instance, isn't over.
+func (r *Record) Resting() int {
+	now := r.Clock.Now()
+	return r.count(func(a *announcement) bool {
+		_, listed := r.listed[a.Target]
+		return listed && now.Before(a.RestUntil)
+	})
+}
+
+// onlyAnswersSayLeaving reports whether a listed target has announced its shutdown in responses while its
+// entry doesn't say so. The lock must be held.
+func (r *Record) onlyAnswersSayLeaving(a *announcement) bool {
+	target, listed := r.listed[a.Target]
+	return a.Leaving && listed && !target.Leaving
+}
+
+func (r *Record) count(matches func(*announcement) bool) int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	count := 0
+	for _, a := range r.announcements {
+		if matches(a) {
+			count++
+		}
+	}
+	return count
+}
--- /dev/null
+++ b/announced/token_bucket.go
@@ -0,0 +1,81 @@
+package announced
+
+import (
+	"math"
+	"time"
+)
+
+const (
+	// burstDuration is how long unused tokens accumulate. With less, a target with 100 requests a
+	// second would lose a send whenever none is asked for within 10 ms.
+	burstDuration = 250 * time.Millisecond
+	// closedRetryDelay is the wait returned while the gate is closed. It opens when another instance
+	// has become the owner, or when this one hears from the others.
+	closedRetryDelay = 250 * time.Millisecond
+)
+
+// wholeToken is the least amount that counts as one token. It is a little below 1 because sums of
+// fractions can fall short of 1.
+const wholeToken = 1 - 1e-9
+
+// Gate is a token bucket that limits the rate of sends to a target. It starts empty: a new owner
+// of the target doesn't know what was sent before, so a full bucket would allow an extra send with
+// each change of owner.
+type Gate struct {
+	// rate is in sends per second; 0 closes the gate.
+	rate float64
+	// tokens is the number of sends available as of filledAt.
+	tokens   float64
+	filledAt time.Time
+}
+
+// RateWithin returns the rate at which a gate allows at most so many sends within any second,
+// including the tokens it had accumulated.
+func RateWithin(perSecond float64) float64 {
+	return perSecond / (1 + burstDuration.Seconds())
+}
+
+// NewGate returns a gate with a rate in sends per second and an initial number of tokens.
+func NewGate(rate, initial float64, now time.Time) *Gate {
+	return &Gate{rate: rate, tokens: initial, filledAt: now}
+}
+
+// SetRate sets the rate in sends per second; 0 closes the gate and removes all tokens.
+func (g *Gate) SetRate(rate float64, now time.Time) {
+	g.refill(now)
+	g.rate = rate
+	g.tokens = min(g.tokens, g.capacity())
+	if rate <= 0 {
+		g.tokens = 0
+	}
+}
+
+// Left returns how long to wait for the next send, 0 if one is allowed now.
+func (g *Gate) Left(now time.Time) time.Duration {
+	g.refill(now)
+	switch {
+	case g.rate <= 0:
+		return closedRetryDelay
+	case g.tokens >= wholeToken:
+		return 0
+	}
+	// Rounded up so that a token is available after the wait.
+	return time.Duration(math.Ceil((1 - g.tokens) / g.rate * float64(time.Second)))
+}
+
+// Take uses one token. The caller must have seen Left return 0.
+func (g *Gate) Take() {
+	g.tokens--
+}
+
+// capacity returns the largest number of tokens that accumulate.
+func (g *Gate) capacity() float64 {
+	return max(1, g.rate*burstDuration.Seconds())
+}
+
+func (g *Gate) refill(now time.Time) {
+	if elapsed := now.Sub(g.filledAt); elapsed > 0 {
+		g.tokens = min(g.tokens+g.rate*elapsed.Seconds(), g.capacity())
+	}
+	g.filledAt = now
+}
--- /dev/null
+++ b/announced/token_bucket_test.go
@@ -0,0 +1,80 @@
+package announced
+
+import (
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// However often a gate is asked and its rate changes, it allows no more sends within a window than its
+// highest rate and the accumulated tokens permit.
+func TestGateLimitsRate(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		rate := rapid.Float64Range(0.1, 200).Draw(t, "rate")
+		seed := rapid.Uint64().Draw(t, "seed")
+		random := rand.New(rand.NewPCG(seed, 1))
+		now := time.Unix(100, 0)
+		gate := NewGate(0, 0, now)
+		var sent []time.Time
+		for range 600 {
+			now = now.Add(time.Duration(random.ExpFloat64() * float64(20*time.Millisecond)))
+			gate.SetRate(rate*random.Float64(), now)
+			if gate.Left(now) == 0 {
+				gate.Take()
+				sent = append(sent, now)
+			}
+		}
+		const window = 4 * time.Second
+		allowed := rate*window.Seconds() + max(1, rate*burstDuration.Seconds())
+		for i, first := range sent {
+			count := 0
+			for _, at := range sent[i:] {
+				if at.Sub(first) < window {
+					count++
+				}
+			}
+			if float64(count) > allowed+1 {
+				t.Fatalf("%d sends in %v at a rate of %v", count, window, rate)
+			}
+		}
+	})
+}
+
+// A send is allowed after the wait that Left returned. A gate that is new or was closed has no tokens.
+func TestGateReturnsExactWaits(t *testing.T) {
+	// At this rate, the sum of fractions after 67 ms was once less than one token.
+	checkWaits(t, 15)
+	rapid.Check(t, func(t *rapid.T) {
+		checkWaits(t, rapid.Float64Range(0.05, 500).Draw(t, "rate"))
+	})
+}
+
+// checkWaits checks twenty sends through a gate, each after the wait that Left returned.
+func checkWaits(t rapid.TB, rate float64) {
+	t.Helper()
+	now := time.Unix(100, 0)
+	gate := NewGate(0, 0, now)
+	gate.SetRate(rate, now)
+	for range 20 {
+		left := gate.Left(now)
+		if left <= 0 {
+			t.Fatal("a send is allowed too early")
+		}
+		now = now.Add(left)
+		if left := gate.Left(now); left != 0 {
+			t.Fatalf("%v left after the wait", left)
+		}
+		gate.Take()
+	}
+	now = now.Add(time.Minute)
+	gate.SetRate(0, now)
+	if gate.Left(now) != closedRetryDelay {
+		t.Fatal("a closed gate allows a send")
+	}
+	gate.SetRate(rate, now)
+	if gate.Left(now) == 0 {
+		t.Fatal("a gate that was closed has kept a token")
+	}
+}
--- a/announced/wire.go
+++ b/announced/wire.go
@@ -6,10 +6,10 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-// WireSize bounds the size of one word in a message, in bytes.
+// WireSize is the maximum encoded size of one announcement in a message, in bytes.
 const WireSize = 36
 
-// Wire is what a target has said of itself as instances tell it.
+// Wire is the CBOR form of an announcement in messages between instances.
 type Wire struct {
 	_         struct{} `cbor:",toarray"`
 	Target    uint32
@@ -17,40 +17,40 @@
 	PerSecond float64
 	Version   uint64
 	Leaving   bool
-	// Born is in Unix milliseconds, 0 if it isn't known.
+	// Born is when the target's process started, in Unix milliseconds; 0 if that isn't known.
 	Born int64
 }
 
-// ToWire returns the form in which words are told; nil, of one byte, if there are none.
-func ToWire(words []shelfshelf.TargetWord) []Wire {
+// ToWire returns the message form of announcements, or nil, which takes one byte, if there are none.
+func ToWire(announcements []shelfshelf.TargetWord) []Wire {
 	var wire []Wire
-	for _, told := range words {
+	for _, known := range announcements {
 		w := Wire{
-			Target: uint32(told.Target), Named: told.Limit.Named, PerSecond: told.Limit.PerSecond, Version: told.Version,
-			Leaving: told.Leaving,
+			Target: uint32(known.Target), Named: known.Limit.Named, PerSecond: known.Limit.PerSecond, Version: known.Version,
+			Leaving: known.Leaving,
 		}
-		if !told.Born.IsZero() {
-			w.Born = told.Born.UnixMilli()
+		if !known.Born.IsZero() {
+			w.Born = known.Born.UnixMilli()
 		}
 		wire = append(wire, w)
 	}
 	return wire
 }
 
-// FromWire leaves out words whose limits are no number of requests.
+// FromWire returns the announcements of a message. It drops those whose limit isn't a valid number.
 func FromWire(wire []Wire) []shelfshelf.TargetWord {
-	var words []shelfshelf.TargetWord
-	for _, told := range wire {
-		word := shelfshelf.TargetWord{
-			Target: shelfshelf.TargetKey(told.Target), Limit: shelfshelf.RateLimit{Named: told.Named, PerSecond: told.PerSecond},
-			Version: told.Version, Leaving: told.Leaving,
+	var announcements []shelfshelf.TargetWord
+	for _, encoded := range wire {
+		received := shelfshelf.TargetWord{
+			Target: shelfshelf.TargetKey(encoded.Target), Limit: shelfshelf.RateLimit{Named: encoded.Named, PerSecond: encoded.PerSecond},
+			Version: encoded.Version, Leaving: encoded.Leaving,
 		}
-		if told.Born != 0 {
-			word.Born = time.UnixMilli(told.Born)
+		if encoded.Born != 0 {
+			received.Born = time.UnixMilli(encoded.Born)
 		}
-		if word.Limit.Valid() {
-			words = append(words, word)
+		if received.Limit.Valid() {
+			announcements = append(announcements, received)
 		}
 	}
-	return words
+	return announcements
 }
