--- a/announced/change.go
+++ b/announced/change.go
@@ -8,13 +8,13 @@
 
 // announcementChange describes how an announcement has changed, for the log and Record.Changed.
 type announcementChange struct {
-	target       shelfshelf.TargetName
-	announcement shelfshelf.TargetWord
-	// limitReportDue means that a changed limit is due to be logged and, if this instance read it, sent
-	// to the others at once. restLogDue means that a changed rest is due to be logged.
+	target         shelfshelf.TargetName
+	announcement   shelfshelf.TargetWord
 	limitChanged   bool
 	leavingChanged bool
 	restChanged    bool
+	// limitReportDue means that a changed limit is due to be logged and, if this instance read it, sent
+	// to the others at once. restLogDue means that a changed rest is due to be logged.
 	limitReportDue bool
 	restLogDue     bool
 }
--- a/crashes/doc.go
+++ b/crashes/doc.go
@@ -1,4 +1,4 @@
-// Package crashes knows, over all instances together, under which requests targets have
-// ended, and holds those back that end whatever runs them: a request that comes again is
-// known by what it asks for, not by its id.
+// Package crashes tracks crashes of targets, shared between all instances, and the requests that were
+// running at the time. It quarantines requests that crash every target that runs them. A repeated
+// request is recognised by a fingerprint of its content, not by its ID.
 package crashes
--- a/crashes/keeper.go
+++ b/crashes/keeper.go
@@ -13,111 +13,114 @@
 )
 
 const (
-	// savePause is the least time between two saves, and saveWatch how long after a change
-	// it is looked whether this instance is the one to save: the one that was may be gone.
-	savePause = time.Second
-	saveWatch = 10 * time.Second
-	// saveTimeout bounds a save or a load, fetchTimeout what another instance may take.
+	// minSaveInterval is the least time between two saves. saveWatchTime is how long after a change the
+	// Keeper checks whether it has become this instance's turn to save, as the instance in charge may have
+	// stopped.
+	minSaveInterval = time.Second
+	saveWatchTime   = 10 * time.Second
+	// saveTimeout limits saving; fetchTimeout limits fetching from another instance.
 	saveTimeout  = 500 * time.Millisecond
 	fetchTimeout = 2 * time.Second
-	// loadPause is the pause between loads that fail.
-	loadPause = 300 * time.Millisecond
-	// differTime is how long another instance may say that it knows something else before
-	// it is asked for all: what is new is usually heard within 0.3 s.
-	differTime = time.Second
+	// loadRetryDelay is the delay before a failed load is repeated.
+	loadRetryDelay = 300 * time.Millisecond
+	// mismatchTimeout is how long another instance's hash may differ before all its crashes are fetched.
+	// Updates usually arrive within 0.3 s.
+	mismatchTimeout = time.Second
 )
 
-// Keeper keeps the record of crashes over restarts, and alike over all instances.
-// Fields are set before Run.
+// Keeper saves the record of crashes in a store, so that it survives restarts, and keeps it equal on all
+// instances. Set the exported fields before Run.
 type Keeper struct {
 	Clock  shelfshelf.Clock
 	Log    *log.Logger
 	Record *Record
 	Store  shelfshelf.CrashStore
-	// Due reports that this instance is the one that saves.
+	// Due reports whether this instance is in charge of saving.
 	Due func() bool
-	// Fetch asks the instance at an address for all that it knows.
+	// Fetch fetches all crashes known to the instance at an address.
 	Fetch func(ctx context.Context, address string) ([]shelfshelf.Crash, error)
 
-	recalled atomic.Bool
-	// saved is the hash of what was saved last, and savedAt when.
-	saved   uint64
-	savedAt time.Time
-	failed  bool
+	loaded atomic.Bool
+	// savedHash is the hash of the runs saved last, and savedAt when that was tried last.
+	savedHash   uint64
+	savedAt     time.Time
+	saveFailing bool
 
 	mu sync.Mutex
-	// differ are the instances that know something else, and since when.
-	differ map[shelfshelf.InstanceID]time.Time
-	offers chan string
-	// lost receives when what was saved may be gone.
-	lost chan struct{}
+	// mismatchedSince holds the instances whose hashes differ, with the time of the first difference or
+	// of the last fetch requested from them.
+	mismatchedSince map[shelfshelf.InstanceID]time.Time
+	// fetchFrom receives addresses of instances to fetch from.
+	fetchFrom chan string
+	// storeLost receives a value when the store may have lost what was saved.
+	storeLost chan struct{}
 }
 
-// Init makes what Heard needs; it is called before all else.
+// Init prepares the Keeper. Call it before any other method.
 func (k *Keeper) Init() {
-	k.differ = make(map[shelfshelf.InstanceID]time.Time)
-	k.offers = make(chan string, 1)
-	k.lost = make(chan struct{}, 1)
+	k.mismatchedSince = make(map[shelfshelf.InstanceID]time.Time)
+	k.fetchFrom = make(chan string, 1)
+	k.storeLost = make(chan struct{}, 1)
 }
 
-// Lost says that the store may have lost what was saved, as one that comes back from an older copy.
+// Lost reports that the store may have lost what was saved, as after a restore from an older copy.
 func (k *Keeper) Lost() {
 	select {
-	case k.lost <- struct{}{}:
+	case k.storeLost <- struct{}{}:
 	default:
 	}
 }
 
-// Known returns all that is known, for an instance that starts; the error is
-// ErrUnavailable while this one has not recalled what was before it.
+// Known returns all known crashes, for an instance that starts. The error is ErrUnavailable until this
+// instance has loaded the saved ones.
 func (k *Keeper) Known() ([]shelfshelf.Crash, error) {
-	if !k.recalled.Load() {
+	if !k.loaded.Load() {
 		return nil, shelfshelf.ErrUnavailable
 	}
 	return k.Record.All(), nil
 }
 
-// Heard takes what another instance tells of its record: the hash of all it knows.
+// Heard processes the hash of another instance's record.
 func (k *Keeper) Heard(from shelfshelf.Instance, hash uint64) {
 	same := hash == k.Record.Hash()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	since, differs := k.differ[from.ID]
+	since, differed := k.mismatchedSince[from.ID]
 	now := k.Clock.Now()
 	switch {
 	case same:
-		delete(k.differ, from.ID)
-	case !differs:
-		k.differ[from.ID] = now
-	case now.Sub(since) >= differTime:
-		k.differ[from.ID] = now
+		delete(k.mismatchedSince, from.ID)
+	case !differed:
+		k.mismatchedSince[from.ID] = now
+	case now.Sub(since) >= mismatchTimeout:
+		k.mismatchedSince[from.ID] = now
 		select {
-		case k.offers <- from.Address:
+		case k.fetchFrom <- from.Address:
 		default:
 		}
 	}
 }
 
-// Run recalls, saves and fetches until the context ends.
+// Run loads, saves and fetches crashes until the context ends.
 func (k *Keeper) Run(ctx context.Context) error {
-	k.recall(ctx)
-	k.recalled.Store(true)
+	k.load(ctx)
+	k.loaded.Store(true)
 	return k.loop(ctx)
 }
 
-// recall loads what was known before this instance started.
-func (k *Keeper) recall(ctx context.Context) {
+// load loads the saved crashes, retrying until it succeeds or the context ends.
+func (k *Keeper) load(ctx context.Context) {
 	for ctx.Err() == nil {
 		loaded, err := k.Store.LoadCrashes(ctx)
 		if err == nil || errors.Is(err, shelfshelf.ErrNotFound) {
 			k.Record.Heard(loaded, false)
-			k.Log.Info("The ends of targets were recalled.", "crashes", len(loaded))
+			k.Log.Info("Loaded the saved crashes of targets.", "crashes", len(loaded))
 			return
 		}
-		k.Log.Warn("The ends of targets can't be recalled.", "error", err)
+		k.Log.Warn("Failed to load the saved crashes of targets; trying again.", "error", err)
 		select {
 		case <-ctx.Done():
-		case <-k.Clock.After(loadPause):
+		case <-k.Clock.After(loadRetryDelay):
 		}
 	}
 }
@@ -125,38 +128,38 @@
 func (k *Keeper) loop(ctx context.Context) error {
 	var watchUntil time.Time
 	for {
-		var again <-chan time.Time
+		var saveDue <-chan time.Time
 		if k.Clock.Now().Before(watchUntil) {
-			again = k.Clock.After(savePause)
+			saveDue = k.Clock.After(minSaveInterval)
 		}
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-k.Record.Changed():
-			watchUntil = k.Clock.Now().Add(saveWatch)
+			watchUntil = k.Clock.Now().Add(saveWatchTime)
 			k.save(ctx)
-		case <-k.lost:
-			k.saved = 0
-			watchUntil = k.Clock.Now().Add(saveWatch)
+		case <-k.storeLost:
+			k.savedHash = 0
+			watchUntil = k.Clock.Now().Add(saveWatchTime)
 			k.save(ctx)
-		case <-again:
+		case <-saveDue:
 			k.save(ctx)
-		case address := <-k.offers:
+		case address := <-k.fetchFrom:
 			k.fetch(ctx, address)
 		}
 	}
 }
 
-// save saves what has changed, if this instance is the one to do so; it logs the first
-// failure in a row and the end of failures.
+// save saves the suspected crashes if they have changed and this instance is in charge. It logs the first
+// of consecutive failures and the recovery.
 func (k *Keeper) save(ctx context.Context) {
 	now := k.Clock.Now()
-	if !k.Due() || now.Sub(k.savedAt) < savePause {
+	if !k.Due() || now.Sub(k.savedAt) < minSaveInterval {
 		return
 	}
 	suspected := k.Record.Suspected()
-	hash := hashOfAll(suspected)
-	if hash == k.saved {
+	hash := hashCrashes(suspected)
+	if hash == k.savedHash {
 		return
 	}
 	k.savedAt = now
@@ -164,25 +167,26 @@
 	defer cancel()
 	err := k.Store.SaveCrashes(ctx, suspected)
 	switch {
-	case err != nil && !k.failed:
-		k.Log.Warn("The ends of targets can't be saved.", "error", err)
-	case err == nil && k.failed:
-		k.Log.Info("The ends of targets are saved again.")
+	case err != nil && !k.saveFailing:
+		k.Log.Warn("Failed to save the crashes of targets.", "error", err)
+	case err == nil && k.saveFailing:
+		k.Log.Info("The crashes of targets are saved again.")
 	}
-	k.failed = err != nil
+	k.saveFailing = err != nil
 	if err == nil {
-		k.saved = hash
+		k.savedHash = hash
 	}
 }
 
-// fetch takes what another instance knows; those beside this one may not know it either.
+// fetch merges the crashes known to another instance. The other instances of this data centre may not
+// know them either.
 func (k *Keeper) fetch(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	told, err := k.Fetch(ctx, address)
+	fetched, err := k.Fetch(ctx, address)
 	if err != nil {
-		k.Log.Warn("Another instance's ends of targets can't be had.", "from", address, "error", err)
+		k.Log.Warn("Failed to fetch another instance's crashes of targets.", "from", address, "error", err)
 		return
 	}
-	k.Record.Heard(told, true)
+	k.Record.Heard(fetched, true)
 }
--- a/crashes/keeper_test.go
+++ b/crashes/keeper_test.go
@@ -14,7 +14,7 @@
 	"github.com/shelfshelf/shelfshelf/crashes"
 )
 
-// store keeps crashes in memory.
+// store is an in-memory CrashStore.
 type store struct {
 	mu    sync.Mutex
 	kept  []shelfshelf.Crash
@@ -54,16 +54,16 @@
 	}
 	keeper.Init()
 	ctx, cancel := context.WithCancel(t.Context())
-	ended := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(stopped)
 		_ = keeper.Run(ctx)
 	}()
 	t.Cleanup(func() {
 		cancel()
-		<-ended
+		<-stopped
 	})
-	eventually(t, "it recalls", func() bool { _, err := keeper.Known(); return err == nil })
+	eventually(t, "the saved crashes are loaded", func() bool { _, err := keeper.Known(); return err == nil })
 	return keeper, record
 }
 
@@ -76,50 +76,50 @@
 	}
 }
 
-// What ends targets is held back after all instances have ended too; those who were beside
-// it once are not worth a write.
-func TestHoldsLastOverRestartsOfAll(t *testing.T) {
+// A quarantine survives a restart of all instances. Requests that ran beside a single crash are not
+// saved.
+func TestQuarantineSurvivesRestartOfAllInstances(t *testing.T) {
 	t.Parallel()
 	clock := clockwork.NewRealClock()
-	kept := &store{}
-	_, first := newKeeper(t, kept, "a", true, nil)
-	_, other := newKeeper(t, kept, "b", false, nil)
-	endUnder(other, clock, "t0", deadly, 7)
-	endUnder(first, clock, "t0", deadly, 7)
+	shared := &store{}
+	_, first := newKeeper(t, shared, "a", true, nil)
+	_, other := newKeeper(t, shared, "b", false, nil)
+	crashWhileRunning(other, clock, "t0", poison, 7)
+	crashWhileRunning(first, clock, "t0", poison, 7)
 	time.Sleep(50 * time.Millisecond)
-	if kept.count() != 0 {
-		t.Error("one end was saved")
+	if shared.count() != 0 {
+		t.Error("a single crash was saved")
 	}
-	endUnder(first, clock, "t1", deadly, 8)
-	endUnder(first, clock, "t2", deadly, 9)
-	eventually(t, "it is saved", func() bool {
-		saved, err := kept.LoadCrashes(t.Context())
+	crashWhileRunning(first, clock, "t1", poison, 8)
+	crashWhileRunning(first, clock, "t2", poison, 9)
+	eventually(t, "the crashes are saved", func() bool {
+		saved, err := shared.LoadCrashes(t.Context())
 		return err == nil && len(saved) == 3
 	})
-	if kept.count() > 3 {
-		t.Errorf("%d saves", kept.count())
+	if shared.count() > 3 {
+		t.Errorf("%d saves", shared.count())
 	}
-	_, later := newKeeper(t, kept, "c", false, nil)
-	if hold, held := later.Held(deadly, "r"); !held || hold.Ends != 3 {
-		t.Errorf("%+v %t", hold, held)
+	_, restarted := newKeeper(t, shared, "c", false, nil)
+	if quarantine, held := restarted.Held(poison, "r"); !held || quarantine.Ends != 3 {
+		t.Errorf("quarantine after a restart: %+v, %t", quarantine, held)
 	}
-	if _, held := later.Held(7, "r"); held {
-		t.Error("who was beside it is held back")
+	if _, held := restarted.Held(7, "r"); held {
+		t.Error("a request beside it is quarantined")
 	}
 }
 
-// An instance that missed what the others were told asks one of them.
-func TestWhatWasMissedIsFetched(t *testing.T) {
+// An instance that missed updates fetches the crashes from another one.
+func TestMissedCrashesAreFetched(t *testing.T) {
 	t.Parallel()
 	clock := clockwork.NewRealClock()
-	knows := newRecord(clock, "a")
+	complete := newRecord(clock, "a")
 	for _, name := range []string{"t0", "t1", "t2"} {
-		endUnder(knows, clock, name, deadly)
+		crashWhileRunning(complete, clock, name, poison)
 	}
-	keeper, lacks := newKeeper(t, &store{}, "b", false, knows.All)
-	eventually(t, "it is held back", func() bool {
-		keeper.Heard(shelfshelf.Instance{ID: "a", Address: "10.0.0.1:1"}, knows.Hash())
-		_, held := lacks.Held(deadly, "r")
+	keeper, lagging := newKeeper(t, &store{}, "b", false, complete.All)
+	eventually(t, "the request is quarantined", func() bool {
+		keeper.Heard(shelfshelf.Instance{ID: "a", Address: "10.0.0.1:1"}, complete.Hash())
+		_, held := lagging.Held(poison, "r")
 		return held
 	})
 }
--- /dev/null
+++ b/crashes/quarantine.go
@@ -0,0 +1,90 @@
+package crashes
+
+import (
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"github.com/shelfshelf/shelfshelf"
+)
+
+const (
+	// initialQuarantine is how long a request is quarantined after its latest crash. The time doubles with
+	// each further crash, up to maxQuarantine. An innocent request is served again afterwards; another one
+	// costs one target each time.
+	initialQuarantine = 10 * time.Minute
+	maxQuarantine     = 24 * time.Hour
+	// probeTimeout is how long the one request let through after a quarantine has to crash its target or to
+	// complete before another one is let through.
+	probeTimeout = 30 * time.Second
+)
+
+// Hold describes the quarantine of a request.
+type Hold struct {
+	// Ends is the number of crashes of targets that ran it.
+	Ends int
+	// Left is the remaining time of the quarantine.
+	Left time.Duration
+}
+
+// probe is the request that was let through at the end of a quarantine.
+type probe struct {
+	request   shelfshelf.RequestID
+	startedAt time.Time
+}
+
+// Held reports whether a request is quarantined, so that it must not be sent to a target, and returns the
+// details. At the end of a quarantine, one request with the fingerprint is let through as a probe. Each
+// instance does so at another time, far enough apart for all to know the outcome of the previous probe.
+func (r *Record) Held(request shelfshelf.Fingerprint, id shelfshelf.RequestID) (Hold, bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	b := r.blamed[request]
+	if !b.quarantined() {
+		return Hold{}, false
+	}
+	now := r.Clock.Now()
+	if remaining := b.lastAt.Add(quarantineTime(b) + r.instanceDelay(request, b)).Sub(now); remaining > 0 {
+		return Hold{Ends: b.crashes, Left: remaining}, true
+	}
+	p, probed := r.probes[request]
+	if probed && p.request != id && now.Sub(p.startedAt) < probeTimeout {
+		return Hold{Ends: b.crashes, Left: probeTimeout - now.Sub(p.startedAt)}, true
+	}
+	if !probed || p.request != id {
+		if r.probes == nil {
+			r.probes = make(map[shelfshelf.Fingerprint]probe)
+		}
+		r.probes[request] = probe{request: id, startedAt: now}
+		r.Log.Info("A quarantined request is let through as a probe.", "fingerprint", request, "request", id, "ends", b.crashes)
+	}
+	return Hold{}, false
+}
+
+// HeldBack returns the number of quarantined requests.
+func (r *Record) HeldBack() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	count := 0
+	for _, b := range r.blamed {
+		if b.quarantined() {
+			count++
+		}
+	}
+	return count
+}
+
+// quarantineTime returns how long a request is quarantined after its latest crash.
+func quarantineTime(b blame) time.Duration {
+	quarantine := initialQuarantine
+	for range b.crashes - minUnexplainedCrashes {
+		quarantine = min(2*quarantine, maxQuarantine)
+	}
+	return quarantine
+}
+
+// instanceDelay returns how long after the end of a quarantine this instance lets a probe through.
+func (r *Record) instanceDelay(request shelfshelf.Fingerprint, b blame) time.Duration {
+	share := float64(xxhash.Sum64String(string(r.Self)+request.String())) / (1 << 64)
+	return time.Duration(share * float64(quarantineTime(b)))
+}
--- a/crashes/record.go
+++ b/crashes/record.go
@@ -14,241 +14,242 @@
 )
 
 const (
-	// keepFor is how long a crash is remembered, several of the longest holds, so that they
-	// don't become shorter again; maxCrashes is how many are: at eight runs each they take
-	// some 200 KB.
-	keepFor    = 7 * longestHold
-	maxCrashes = 1000
-	// maxRuns bounds the runs of one crash.
-	maxRuns = 256
-	// sameEnd is how long after a target's end its connections may still break: what breaks
-	// later is another end of a target that started again under its name.
-	sameEnd = 1500 * time.Millisecond
+	// crashRetention is how long a crash is remembered: several times the longest quarantine, so that
+	// quarantines don't become shorter again. maxCrashes is how many are remembered; with eight runs each
+	// they take about 200 KB.
+	crashRetention = 7 * maxQuarantine
+	maxCrashes     = 1000
+	// maxRunsPerCrash limits the runs of one crash.
+	maxRunsPerCrash = 256
+	// sameCrashWindow is how long after a crash connections may still break because of it. One that
+	// breaks later belongs to another crash, of a target that restarted under its name.
+	sameCrashWindow = 1500 * time.Millisecond
 )
 
-// Record is what is known of crashes. Two instances that have heard the same say the
-// same, in whatever order they heard it. Fields are set before use. It is safe for
-// concurrent use.
+// Record holds the known crashes. Records converge: two that received the same information are equal, in
+// whatever order it came. Set the exported fields before use. It is safe for concurrent use.
 type Record struct {
 	Clock shelfshelf.Clock
 	Log   *log.Logger
-	// Self spreads the ends of holds over the instances.
+	// Self determines the time after a quarantine at which this instance lets a probe through.
 	Self shelfshelf.InstanceID
 
 	mu      sync.Mutex
 	crashes map[shelfshelf.CrashID]*crash
-	news    map[shelfshelf.CrashID]news
-	// judged are the verdicts of today's crashes, and tries the requests let through at
-	// the end of a hold.
-	judged  map[shelfshelf.Fingerprint]verdict
-	tries   map[shelfshelf.Fingerprint]try
+	updates map[shelfshelf.CrashID]update
+	// blamed holds the blame of the requests in the current crashes, and probes the requests let through at
+	// the end of a quarantine.
+	blamed  map[shelfshelf.Fingerprint]blame
+	probes  map[shelfshelf.Fingerprint]probe
 	hash    uint64
 	changed chan struct{}
 }
 
-// Changed returns a channel that receives after something was learnt.
+// Changed returns a channel that receives a value after the record has changed.
 func (r *Record) Changed() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.changes()
+	return r.changedChannel()
 }
 
-func (r *Record) changes() chan struct{} {
+func (r *Record) changedChannel() chan struct{} {
 	if r.changed == nil {
 		r.changed = make(chan struct{}, 1)
 	}
 	return r.changed
 }
 
-// Ended notes that a target ended, at an instant, while it ran requests.
+// Ended records that a target crashed at the given time while it was running requests.
 func (r *Record) Ended(target shelfshelf.Target, requests []shelfshelf.Fingerprint, at time.Time) shelfshelf.CrashID {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	id := r.idOf(target, at)
-	told := shelfshelf.Crash{ID: id, Age: r.Clock.Now().Sub(at)}
+	id := r.crashID(target, at)
+	received := shelfshelf.Crash{ID: id, Age: r.Clock.Now().Sub(at)}
 	for _, request := range requests {
-		told.Runs = append(told.Runs, shelfshelf.CrashedRun{Request: request})
+		received.Runs = append(received.Runs, shelfshelf.CrashedRun{Request: request})
 	}
-	if r.merge(told, true) {
-		r.learnt()
+	if r.merge(received, true) {
+		r.reassess()
 	}
 	return id
 }
 
-// idOf names the end of a target: the first of this life, or another one if that was too
-// long ago to be the same. The lock is held.
-func (r *Record) idOf(target shelfshelf.Target, at time.Time) shelfshelf.CrashID {
+// crashID returns the ID of the first crash of the target's process, or of a further one if the previous
+// one is too long ago to be the same. The lock must be held.
+func (r *Record) crashID(target shelfshelf.Target, at time.Time) shelfshelf.CrashID {
 	hash := xxhash.New()
 	_, _ = hash.WriteString(string(target.Name))
-	var number [8]byte
-	binary.BigEndian.PutUint64(number[:], uint64(target.Born.UnixMilli()))
-	_, _ = hash.Write(number[:])
+	var born [8]byte
+	binary.BigEndian.PutUint64(born[:], uint64(target.Born.UnixMilli()))
+	_, _ = hash.Write(born[:])
 	for {
 		id := shelfshelf.CrashID(hash.Sum64())
 		c := r.crashes[id]
-		if c == nil || at.Sub(c.at) < sameEnd {
+		if c == nil || at.Sub(c.at) < sameCrashWindow {
 			return id
 		}
 		_, _ = hash.WriteString("again")
 	}
 }
 
-// Outlived notes that a run of a request came to its end: the targets that ended under it
-// before did not end of it.
+// Outlived records that a run of a request completed, so the request didn't cause the earlier crashes of
+// targets that ran it.
 func (r *Record) Outlived(request shelfshelf.Fingerprint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if _, suspected := r.judged[request]; !suspected {
+	if _, suspected := r.blamed[request]; !suspected {
 		return
 	}
 	for id, c := range r.crashes {
-		if outlived, ran := c.runs[request]; ran && !outlived {
+		if cleared, ran := c.runs[request]; ran && !cleared {
 			r.setRun(id, c, request, true)
-			r.note(id, true)
+			r.markUpdated(id, true)
 		}
 	}
-	r.learnt()
+	r.reassess()
 }
 
-// Heard takes what another instance knows; wide says that others of this data centre may
-// not have heard it.
-func (r *Record) Heard(told []shelfshelf.Crash, wide bool) {
-	if len(told) == 0 {
+// Heard merges crashes received from another instance. wide means that other instances of this data
+// centre may not have received them.
+func (r *Record) Heard(received []shelfshelf.Crash, wide bool) {
+	if len(received) == 0 {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	changed := false
-	for _, c := range told {
+	for _, c := range received {
 		if r.merge(c, wide) {
 			changed = true
-			r.Log.Info("A target's end was told.", "crash", uint64(c.ID), "age", c.Age, "runs", len(c.Runs))
+			r.Log.Info("Another instance reported a crash of a target.", "crash", uint64(c.ID), "age", c.Age, "runs", len(c.Runs))
 		}
 	}
 	if changed {
-		r.learnt()
+		r.reassess()
 	}
 }
 
-// merge adds what is told of a crash and reports whether that was new; the lock is held.
-func (r *Record) merge(told shelfshelf.Crash, wide bool) bool {
-	if told.Age >= keepFor {
+// merge merges a received crash and reports whether it brought new information. The lock must be held.
+func (r *Record) merge(received shelfshelf.Crash, wide bool) bool {
+	if received.Age >= crashRetention {
 		return false
 	}
-	c := r.crashes[told.ID]
+	c := r.crashes[received.ID]
 	changed := c == nil
 	if c == nil {
-		c = &crash{at: r.Clock.Now().Add(-max(told.Age, 0)), runs: make(map[shelfshelf.Fingerprint]bool)}
+		c = &crash{at: r.Clock.Now().Add(-max(received.Age, 0)), runs: make(map[shelfshelf.Fingerprint]bool)}
 		if r.crashes == nil {
 			r.crashes = make(map[shelfshelf.CrashID]*crash)
 		}
-		r.crashes[told.ID] = c
+		r.crashes[received.ID] = c
 	}
-	for _, run := range told.Runs {
-		outlived, ran := c.runs[run.Request]
-		if ran && (outlived || !run.Outlived) || !ran && len(c.runs) >= maxRuns {
+	for _, run := range received.Runs {
+		cleared, ran := c.runs[run.Request]
+		if ran && (cleared || !run.Outlived) || !ran && len(c.runs) >= maxRunsPerCrash {
 			continue
 		}
-		r.setRun(told.ID, c, run.Request, run.Outlived)
+		r.setRun(received.ID, c, run.Request, run.Outlived)
 		changed = true
 	}
 	if changed {
-		r.note(told.ID, wide)
+		r.markUpdated(received.ID, wide)
 	}
 	return changed
 }
 
-// setRun notes a run of a crash, and keeps the hash; the lock is held.
-func (r *Record) setRun(id shelfshelf.CrashID, c *crash, request shelfshelf.Fingerprint, outlived bool) {
+// setRun sets a run of a crash and updates the hash. The lock must be held.
+func (r *Record) setRun(id shelfshelf.CrashID, c *crash, request shelfshelf.Fingerprint, cleared bool) {
 	if before, ran := c.runs[request]; ran {
-		r.hash ^= hashOfRun(id, request, before)
+		r.hash ^= hashRun(id, request, before)
 	}
-	c.runs[request] = outlived
-	r.hash ^= hashOfRun(id, request, outlived)
+	c.runs[request] = cleared
+	r.hash ^= hashRun(id, request, cleared)
 }
 
-// hashOfRun is a run's part of the hash of all.
-func hashOfRun(id shelfshelf.CrashID, request shelfshelf.Fingerprint, outlived bool) uint64 {
+// hashRun returns a run's part of the hash of all runs.
+func hashRun(id shelfshelf.CrashID, request shelfshelf.Fingerprint, cleared bool) uint64 {
 	var content [17]byte
 	binary.BigEndian.PutUint64(content[:], uint64(id))
 	binary.BigEndian.PutUint64(content[8:], uint64(request))
-	if outlived {
+	if cleared {
 		content[16] = 1
 	}
 	return xxhash.Sum64(content[:])
 }
 
-// hashOfAll is the hash of the runs of crashes.
-func hashOfAll(crashes []shelfshelf.Crash) uint64 {
+// hashCrashes returns the hash of the runs of crashes.
+func hashCrashes(crashes []shelfshelf.Crash) uint64 {
 	hash := uint64(0)
 	for _, c := range crashes {
 		for _, run := range c.Runs {
-			hash ^= hashOfRun(c.ID, run.Request, run.Outlived)
+			hash ^= hashRun(c.ID, run.Request, run.Outlived)
 		}
 	}
 	return hash
 }
 
-// note marks a crash as one to be told; the lock is held.
-func (r *Record) note(id shelfshelf.CrashID, wide bool) {
-	if r.news == nil {
-		r.news = make(map[shelfshelf.CrashID]news)
+// markUpdated marks a crash to be sent to other instances. The lock must be held.
+func (r *Record) markUpdated(id shelfshelf.CrashID, wide bool) {
+	if r.updates == nil {
+		r.updates = make(map[shelfshelf.CrashID]update)
 	}
-	r.news[id] = news{at: r.Clock.Now(), wide: wide || r.news[id].wide}
+	r.updates[id] = update{at: r.Clock.Now(), unknownLocally: wide || r.updates[id].unknownLocally}
 }
 
-// learnt drops what is too old and judges anew; the lock is held.
-func (r *Record) learnt() {
-	r.dropOld()
-	judged := judge(r.crashes)
-	for request, v := range judged {
-		if v.held() && !r.judged[request].held() {
-			r.Log.Warn("A request is held back.", "fingerprint", request, "ends", v.ends, "unexplained", v.unexplained, "for", holdFor(v))
+// reassess removes expired crashes, assigns blame again and signals the change. The lock must be held.
+func (r *Record) reassess() {
+	r.removeExpired()
+	blamed := assignBlame(r.crashes)
+	for request, b := range blamed {
+		if b.quarantined() && !r.blamed[request].quarantined() {
+			r.Log.Warn("A request is quarantined.", "fingerprint", request, "ends", b.crashes,
+				"unexplained", b.unexplained, "for", quarantineTime(b))
 		}
 	}
-	for request, v := range r.judged {
-		if v.held() && !judged[request].held() {
-			r.Log.Info("A request is held back no more.", "fingerprint", request, "ends", judged[request].ends, "unexplained", judged[request].unexplained)
-			delete(r.tries, request)
+	for request, b := range r.blamed {
+		if b.quarantined() && !blamed[request].quarantined() {
+			r.Log.Info("A request is no longer quarantined.", "fingerprint", request,
+				"ends", blamed[request].crashes, "unexplained", blamed[request].unexplained)
+			delete(r.probes, request)
 		}
 	}
-	r.judged = judged
+	r.blamed = blamed
 	select {
-	case r.changes() <- struct{}{}:
+	case r.changedChannel() <- struct{}{}:
 	default:
 	}
 }
 
-// dropOld forgets crashes that are too old, or too many; the lock is held.
-func (r *Record) dropOld() {
+// removeExpired removes crashes that are too old or too many, and old updates. The lock must be held.
+func (r *Record) removeExpired() {
 	now := r.Clock.Now()
 	for id, c := range r.crashes {
-		if now.Sub(c.at) >= keepFor {
-			r.drop(id)
+		if now.Sub(c.at) >= crashRetention {
+			r.remove(id)
 		}
 	}
-	for id, n := range r.news {
-		if now.Sub(n.at) >= tellFor {
-			delete(r.news, id)
+	for id, u := range r.updates {
+		if now.Sub(u.at) >= updateLifetime {
+			delete(r.updates, id)
 		}
 	}
 	if len(r.crashes) <= maxCrashes {
 		return
 	}
 	for _, id := range r.newestFirst()[maxCrashes:] {
-		r.drop(id)
+		r.remove(id)
 	}
 }
 
-func (r *Record) drop(id shelfshelf.CrashID) {
-	for request, outlived := range r.crashes[id].runs {
-		r.hash ^= hashOfRun(id, request, outlived)
+func (r *Record) remove(id shelfshelf.CrashID) {
+	for request, cleared := range r.crashes[id].runs {
+		r.hash ^= hashRun(id, request, cleared)
 	}
 	delete(r.crashes, id)
-	delete(r.news, id)
+	delete(r.updates, id)
 }
 
-// newestFirst returns all crashes by age; the lock is held.
+// newestFirst returns the IDs of all crashes by age. The lock must be held.
 func (r *Record) newestFirst() []shelfshelf.CrashID {
 	ids := make([]shelfshelf.CrashID, 0, len(r.crashes))
 	for id := range r.crashes {
--- a/crashes/record_test.go
+++ b/crashes/record_test.go
@@ -14,7 +14,8 @@
 	"github.com/shelfshelf/shelfshelf/crashes"
 )
 
-const deadly = shelfshelf.Fingerprint(1)
+// poison is a request that crashes every target.
+const poison = shelfshelf.Fingerprint(1)
 
 func newRecord(clock shelfshelf.Clock, self string) *crashes.Record {
 	return &crashes.Record{Clock: clock, Log: log.New(io.Discard), Self: shelfshelf.InstanceID(self)}
@@ -24,14 +25,14 @@
 	return shelfshelf.Target{Name: shelfshelf.TargetName(name)}
 }
 
-func endUnder(r *crashes.Record, clock shelfshelf.Clock, name string, requests ...shelfshelf.Fingerprint) {
+// crashWhileRunning records a crash of a target that was running requests.
+func crashWhileRunning(r *crashes.Record, clock shelfshelf.Clock, name string, requests ...shelfshelf.Fingerprint) {
 	r.Ended(target(name), requests, clock.Now())
 }
 
-// Instances that see different parts of the same ends, tell each other with losses and in
-// any order, and each hear of runs that outlived them, know the same once each has had all
-// of another one that has.
-func TestRecordsAgree(t *testing.T) {
+// Records converge after a full exchange between instances, even if each saw only a part of the same
+// crashes, updates were lost or reordered, and each learnt of other completed runs.
+func TestRecordsConverge(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		clock := clockwork.NewFakeClock()
@@ -41,7 +42,7 @@
 			request := shelfshelf.Fingerprint(rapid.IntRange(1, 6).Draw(t, "request"))
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
-				endUnder(r, clock, fmt.Sprint("t", rapid.IntRange(0, 8).Draw(t, "target")), request, request+1)
+				crashWhileRunning(r, clock, fmt.Sprint("t", rapid.IntRange(0, 8).Draw(t, "target")), request, request+1)
 			case 2:
 				r.Outlived(request)
 			case 3:
@@ -59,73 +60,73 @@
 		}
 		for _, r := range records[1:] {
 			if r.Hash() != records[0].Hash() || r.HeldBack() != records[0].HeldBack() {
-				t.Fatalf("%v and %v", records[0].All(), r.All())
+				t.Fatalf("records differ: %v and %v", records[0].All(), r.All())
 			}
 		}
 	})
 }
 
-func TestTheSameEndCountsOnce(t *testing.T) {
+func TestSameCrashCountsOnce(t *testing.T) {
 	t.Parallel()
 	clock := clockwork.NewFakeClock()
 	a, b := newRecord(clock, "a"), newRecord(clock, "b")
 	for i := range 3 {
-		// Both saw it, with a try each, the second one some ms later.
-		endUnder(a, clock, "t1", deadly)
+		// Both instances see the crash, each through its own request, the second one 20 ms later.
+		crashWhileRunning(a, clock, "t1", poison)
 		clock.Advance(20 * time.Millisecond)
-		endUnder(b, clock, "t1", deadly)
+		crashWhileRunning(b, clock, "t1", poison)
 		b.Heard(a.News(true), false)
-		if _, held := b.Held(deadly, "r"); held != (i == 2) {
-			t.Errorf("held back after %d ends: %t", i+1, held)
+		if _, held := b.Held(poison, "r"); held != (i == 2) {
+			t.Errorf("quarantined after %d crashes: %t", i+1, held)
 		}
-		// The target starts again under its name.
+		// The target restarts under its name.
 		clock.Advance(3 * time.Second)
 	}
 }
 
-// An earlier life's end says nothing of a later one that ended soon after.
-func TestLivesEndEachForItself(t *testing.T) {
+// A crash of a restarted process counts separately, even soon after the crash of the previous process.
+func TestCrashesOfEachProcessCount(t *testing.T) {
 	t.Parallel()
 	clock := clockwork.NewFakeClock()
 	r := newRecord(clock, "a")
-	for life := range 3 {
-		born := target("t1")
-		born.Born = time.UnixMilli(int64(1000 + life))
-		r.Ended(born, []shelfshelf.Fingerprint{deadly}, clock.Now())
+	for process := range 3 {
+		restarted := target("t1")
+		restarted.Born = time.UnixMilli(int64(1000 + process))
+		r.Ended(restarted, []shelfshelf.Fingerprint{poison}, clock.Now())
 		clock.Advance(300 * time.Millisecond)
 	}
-	if hold, held := r.Held(deadly, "r"); !held || hold.Ends != 3 {
-		t.Errorf("%+v %t", hold, held)
+	if quarantine, held := r.Held(poison, "r"); !held || quarantine.Ends != 3 {
+		t.Errorf("%+v %t", quarantine, held)
 	}
 }
 
-// At the end of a hold one try is let through, not one a caller or instance; the next hold
-// is twice as long.
-func TestHoldsEndWithOneTry(t *testing.T) {
+// At the end of a quarantine one probe is let through, not one for each caller or instance. The next
+// quarantine is twice as long.
+func TestQuarantineEndsWithOneProbe(t *testing.T) {
 	t.Parallel()
 	clock := clockwork.NewFakeClock()
 	records := []*crashes.Record{newRecord(clock, "a"), newRecord(clock, "b"), newRecord(clock, "c")}
 	for i := range 3 {
-		endUnder(records[0], clock, fmt.Sprint("t", i), deadly)
+		crashWhileRunning(records[0], clock, fmt.Sprint("t", i), poison)
 	}
 	for _, r := range records[1:] {
 		r.Heard(records[0].News(true), true)
 	}
-	ends := 3
+	crashCount := 3
 	for range 20_000 {
 		clock.Advance(10 * time.Second)
 		var news []shelfshelf.Crash
 		for i, r := range records {
 			for caller := range 3 {
 				id := shelfshelf.RequestID(fmt.Sprint("r", i, "-", caller))
-				if _, held := r.Held(deadly, id); held {
+				if _, held := r.Held(poison, id); held {
 					continue
 				}
-				if _, held := r.Held(deadly, id); held {
-					t.Fatal("the try is held back right before it is sent")
+				if _, held := r.Held(poison, id); held {
+					t.Fatal("the probe is quarantined right before it is sent")
 				}
-				ends++
-				endUnder(r, clock, fmt.Sprint("t", ends), deadly)
+				crashCount++
+				crashWhileRunning(r, clock, fmt.Sprint("t", crashCount), poison)
 				news = r.News(true)
 			}
 		}
@@ -134,38 +135,39 @@
 			r.Heard(records[0].All(), true)
 		}
 	}
-	// 55 hours have room for holds of 10, 20, 40, ... 1,280 minutes, eight in all, or fewer
-	// where each lasts a part longer.
-	if ends < 3+5 || ends > 3+8 {
-		t.Errorf("%d targets ended", ends)
+	// In 55 hours there is time for eight quarantines of 10, 20, 40, ... 1,280 minutes, or fewer because
+	// the delays of instances prolong them.
+	if crashCount < 3+5 || crashCount > 3+8 {
+		t.Errorf("%d targets crashed", crashCount)
 	}
 }
 
-// Who was only unlucky is served again at the end of its hold, and free from then on.
-func TestWhoOutlivesItsTryIsFree(t *testing.T) {
+// A request that only ran beside crashes is served again after its quarantine. Once it has completed, it
+// is no longer quarantined.
+func TestCompletedProbeEndsQuarantine(t *testing.T) {
 	t.Parallel()
 	clock := clockwork.NewFakeClock()
 	r := newRecord(clock, "a")
 	for i := range 3 {
-		endUnder(r, clock, fmt.Sprint("t", i), deadly)
+		crashWhileRunning(r, clock, fmt.Sprint("t", i), poison)
 	}
-	hold, held := r.Held(deadly, "r1")
-	if !held || hold.Left < 10*time.Minute || hold.Left > 20*time.Minute || r.HeldBack() != 1 {
-		t.Fatalf("%+v %t", hold, held)
+	quarantine, held := r.Held(poison, "r1")
+	if !held || quarantine.Left < 10*time.Minute || quarantine.Left > 20*time.Minute || r.HeldBack() != 1 {
+		t.Fatalf("%+v %t", quarantine, held)
 	}
-	clock.Advance(hold.Left)
-	if _, held := r.Held(deadly, "r1"); held {
-		t.Fatal("still held back")
+	clock.Advance(quarantine.Left)
+	if _, held := r.Held(poison, "r1"); held {
+		t.Fatal("still quarantined")
 	}
-	r.Outlived(deadly)
+	r.Outlived(poison)
 	for _, id := range []shelfshelf.RequestID{"r2", "r3"} {
-		if _, held := r.Held(deadly, id); held {
-			t.Errorf("%s is held back", id)
+		if _, held := r.Held(poison, id); held {
+			t.Errorf("%s is quarantined", id)
 		}
 	}
 }
 
-// What is told with statuses is bounded, and what is remembered too.
+// The number of crashes in a status and in the record is bounded.
 func TestRecordsAreBounded(t *testing.T) {
 	t.Parallel()
 	clock := clockwork.NewFakeClock()
@@ -178,28 +180,28 @@
 		if i%100 != 0 {
 			requests = requests[:8]
 		}
-		endUnder(r, clock, fmt.Sprint("t", i), requests...)
+		crashWhileRunning(r, clock, fmt.Sprint("t", i), requests...)
 		clock.Advance(time.Millisecond)
 	}
 	all := r.All()
 	if len(all) != 1000 || all[0].Age > all[999].Age {
-		t.Errorf("%d are remembered", len(all))
+		t.Errorf("%d crashes are remembered", len(all))
 	}
-	told := 0
+	runCount := 0
 	for _, c := range r.News(true) {
-		told += len(c.Runs)
+		runCount += len(c.Runs)
 	}
-	if told == 0 || told > 600 {
-		t.Errorf("%d runs in one status", told)
+	if runCount == 0 || runCount > 600 {
+		t.Errorf("%d runs in one status", runCount)
 	}
 	clock.Advance(8 * 24 * time.Hour)
-	endUnder(r, clock, "t", 7)
+	crashWhileRunning(r, clock, "t", 7)
 	if all := r.All(); len(all) != 1 {
-		t.Errorf("%d are remembered after eight days", len(all))
+		t.Errorf("%d crashes are remembered after eight days", len(all))
 	}
 	fresh := newRecord(clock, "b")
 	fresh.Heard(r.All(), false)
 	if fresh.Hash() != r.Hash() {
-		t.Error("what was forgotten still counts in the hash")
+		t.Error("removed crashes still count in the hash")
 	}
 }
--- a/crashes/wire.go
+++ b/crashes/wire.go
@@ -7,7 +7,7 @@
 )
 
 type (
-	// Wire is a crash as instances tell it to each other, in CBOR.
+	// Wire is the CBOR form of a crash in messages between instances.
 	Wire struct {
 		_  struct{} `cbor:",toarray"`
 		ID uint64
@@ -15,7 +15,7 @@
 		Age  int64
 		Runs []WireRun
 	}
-	// WireRun is a run of such a crash.
+	// WireRun is a request that the target was running.
 	WireRun struct {
 		_        struct{} `cbor:",toarray"`
 		Request  uint64
@@ -23,13 +23,13 @@
 	}
 )
 
-// The most bytes that a crash, without its runs, and one run take so.
+// The maximum encoded sizes, in bytes, of a crash without its runs and of a run.
 const (
 	crashBytes = 24
 	runBytes   = 11
 )
 
-// WireSize bounds the size of crashes in a message, in bytes.
+// WireSize returns the maximum encoded size of crashes in a message, in bytes.
 func WireSize(crashes []shelfshelf.Crash) int {
 	size := 0
 	for _, crash := range crashes {
@@ -40,7 +40,7 @@
 
 func wireSize(crash shelfshelf.Crash) int { return crashBytes + runBytes*len(crash.Runs) }
 
-// ToWire returns crashes in the form of messages.
+// ToWire returns the message form of crashes.
 func ToWire(crashes []shelfshelf.Crash) []Wire {
 	wire := make([]Wire, len(crashes))
 	for i, crash := range crashes {
@@ -52,7 +52,7 @@
 	return wire
 }
 
-// FromWire reads crashes from the form of messages.
+// FromWire returns the crashes of a message.
 func FromWire(wire []Wire) []shelfshelf.Crash {
 	crashes := make([]shelfshelf.Crash, len(wire))
 	for i, crash := range wire {
--- a/crashes/witness.go
+++ b/crashes/witness.go
@@ -13,37 +13,37 @@
 )
 
 const (
-	// reachTime bounds a look at whether a target's process is there.
-	reachTime = 200 * time.Millisecond
-	// lookAgain is when a target that was reached is looked at once more: one that started
-	// again at once has announced its new life by then.
-	lookAgain = time.Second
+	// dialTimeout limits the connection attempt that checks whether a target's process is running.
+	dialTimeout = 200 * time.Millisecond
+	// recheckDelay is the delay before a target that didn't refuse the connection is checked again. One that
+	// restarted at once has announced its new process by then.
+	recheckDelay = time.Second
 )
 
-// Witness finds out whether a target's process has ended where an answer of it broke off.
-// Answers also break off under targets that go on, which says nothing of the request.
-// Fields are set before use. It is safe for concurrent use.
+// Witness finds out whether a target crashed after one of its responses broke off. Responses also break
+// off while the target keeps running, which says nothing about the request. Set the exported fields
+// before use. It is safe for concurrent use.
 type Witness struct {
 	Clock  shelfshelf.Clock
 	Log    *log.Logger
 	Record *Record
-	// Reach opens a connection to a target.
+	// Reach opens a connection to the target at an address.
 	Reach func(ctx context.Context, address string) error
-	// Target returns a listed target as it stands.
+	// Target returns the current list entry of a target.
 	Target func(shelfshelf.TargetName) (shelfshelf.Target, bool)
 
 	mu     sync.Mutex
 	checks map[shelfshelf.TargetName]*check
 }
 
-// check is one target being looked at, with the requests whose answers broke off there.
+// check is a pending check of a target, with the requests whose responses broke off there.
 type check struct {
 	target   shelfshelf.Target
 	at       time.Time
 	requests []shelfshelf.Fingerprint
 }
 
-// Broken notes that a target's answer to a request broke off. It returns at once.
+// Broken records that a target's response to a request broke off and starts a check. It doesn't block.
 func (w *Witness) Broken(target shelfshelf.Target, request shelfshelf.Fingerprint) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -56,22 +56,22 @@
 	}
 	c := &check{target: target, at: w.Clock.Now(), requests: []shelfshelf.Fingerprint{request}}
 	w.checks[target.Name] = c
-	go w.run(c)
+	go w.investigate(c)
 }
 
-// run looks at one target.
-func (w *Witness) run(c *check) {
-	ended := w.refuses(c.target)
-	if !ended {
-		<-w.Clock.After(lookAgain)
-		ended = w.bornAgain(c.target)
+// investigate checks one target and records its crash if it has crashed.
+func (w *Witness) investigate(c *check) {
+	crashed := w.refusesConnections(c.target)
+	if !crashed {
+		<-w.Clock.After(recheckDelay)
+		crashed = w.restarted(c.target)
 	}
 	w.mu.Lock()
 	delete(w.checks, c.target.Name)
 	requests := c.requests
 	w.mu.Unlock()
-	if !ended {
-		w.Log.Debug("A target goes on whose answer broke off.", "target", c.target.Name, "requests", requests)
+	if !crashed {
+		w.Log.Debug("A response broke off, but its target didn't crash.", "target", c.target.Name, "requests", requests)
 		return
 	}
 	if listed, found := w.Target(c.target.Name); !found || listed.Leaving {
@@ -83,16 +83,16 @@
 		"crash", uint64(id), "requests", requests)
 }
 
-// refuses reports that nothing listens at a target's address. One that gives no answer at
-// all may be cut off from this instance alone.
-func (w *Witness) refuses(target shelfshelf.Target) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), reachTime)
+// refusesConnections reports whether nothing listens at a target's address. A target that doesn't answer
+// at all may only be unreachable from this instance.
+func (w *Witness) refusesConnections(target shelfshelf.Target) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
 	return errors.Is(w.Reach(ctx, target.Address), syscall.ECONNREFUSED)
 }
 
-// bornAgain reports that another life of a target is listed under its name.
-func (w *Witness) bornAgain(target shelfshelf.Target) bool {
+// restarted reports whether another process of a target is listed under its name.
+func (w *Witness) restarted(target shelfshelf.Target) bool {
 	listed, found := w.Target(target.Name)
 	return found && !listed.SameLife(target)
 }
