--- a/crashes/record.go
+++ b/crashes/record.go
@@ -64,11 +64,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	id := r.crashID(target, at)
-	received := shelfshelf.Crash{ID: id, Age: r.Clock.Now().Sub(at)}
+	observed := shelfshelf.Crash{ID: id, Age: r.Clock.Now().Sub(at)}
 	for _, request := range requests {
-		received.Runs = append(received.Runs, shelfshelf.CrashedRun{Request: request})
+		observed.Runs = append(observed.Runs, shelfshelf.CrashedRun{Request: request})
 	}
-	if r.merge(received, true) {
+	if r.merge(observed, true) {
 		r.reassess()
 	}
 	return id
@@ -109,9 +109,9 @@
 	r.reassess()
 }
 
-// Heard merges crashes received from another instance. wide means that other instances of this data
-// centre may not have received them.
-func (r *Record) Heard(received []shelfshelf.Crash, wide bool) {
+// Heard merges crashes received from another instance. unknownLocally means that other instances of this
+// data centre may not have received them.
+func (r *Record) Heard(received []shelfshelf.Crash, unknownLocally bool) {
 	if len(received) == 0 {
 		return
 	}
@@ -119,7 +119,7 @@
 	defer r.mu.Unlock()
 	changed := false
 	for _, c := range received {
-		if r.merge(c, wide) {
+		if r.merge(c, unknownLocally) {
 			changed = true
 			r.Log.Info("Another instance reported a crash of a target.", "crash", uint64(c.ID), "age", c.Age, "runs", len(c.Runs))
 		}
@@ -130,7 +130,7 @@
 }
 
 // merge merges a received crash and reports whether it brought new information. The lock must be held.
-func (r *Record) merge(received shelfshelf.Crash, wide bool) bool {
+func (r *Record) merge(received shelfshelf.Crash, unknownLocally bool) bool {
 	if received.Age >= crashRetention {
 		return false
 	}
@@ -152,7 +152,7 @@
 		changed = true
 	}
 	if changed {
-		r.markUpdated(received.ID, wide)
+		r.markUpdated(received.ID, unknownLocally)
 	}
 	return changed
 }
@@ -189,11 +189,11 @@
 }
 
 // markUpdated marks a crash to be sent to other instances. The lock must be held.
-func (r *Record) markUpdated(id shelfshelf.CrashID, wide bool) {
+func (r *Record) markUpdated(id shelfshelf.CrashID, unknownLocally bool) {
 	if r.updates == nil {
 		r.updates = make(map[shelfshelf.CrashID]update)
 	}
-	r.updates[id] = update{at: r.Clock.Now(), unknownLocally: wide || r.updates[id].unknownLocally}
+	r.updates[id] = update{at: r.Clock.Now(), unknownLocally: unknownLocally || r.updates[id].unknownLocally}
 }
 
 // reassess removes expired crashes, assigns blame again and signals the change. The lock must be held.
--- a/crashes/updates.go
+++ b/crashes/updates.go
@@ -25,9 +25,9 @@
 	unknownLocally bool
 }
 
-// News returns the recently updated crashes, as many as fit into a status. Unless wide is set, it leaves
+// News returns the recently updated crashes, as many as fit into a status. Unless all is set, it leaves
 // out those that the other instances of this data centre received from the same source.
-func (r *Record) News(wide bool) []shelfshelf.Crash {
+func (r *Record) News(all bool) []shelfshelf.Crash {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.updates) == 0 {
@@ -37,7 +37,7 @@
 	var sent []shelfshelf.Crash
 	bytesLeft := maxUpdateBytes
 	for id, u := range r.updates {
-		if now.Sub(u.at) >= updateLifetime || !wide && !u.unknownLocally {
+		if now.Sub(u.at) >= updateLifetime || !all && !u.unknownLocally {
 			continue
 		}
 		next := r.crashes[id].export(id, now)
@@ -51,11 +51,11 @@
 
 // export returns the form in which a crash is sent to other instances.
 func (c *crash) export(id shelfshelf.CrashID, now time.Time) shelfshelf.Crash {
-	sent := shelfshelf.Crash{ID: id, Age: now.Sub(c.at)}
+	exported := shelfshelf.Crash{ID: id, Age: now.Sub(c.at)}
 	for request, cleared := range c.runs {
-		sent.Runs = append(sent.Runs, shelfshelf.CrashedRun{Request: request, Outlived: cleared})
+		exported.Runs = append(exported.Runs, shelfshelf.CrashedRun{Request: request, Outlived: cleared})
 	}
-	return sent
+	return exported
 }
 
 // All returns all known crashes, the newest first.
@@ -85,14 +85,14 @@
 	now := r.Clock.Now()
 	var suspected []shelfshelf.Crash
 	for _, id := range r.newestFirst() {
-		sent := shelfshelf.Crash{ID: id, Age: now.Sub(r.crashes[id].at)}
+		saved := shelfshelf.Crash{ID: id, Age: now.Sub(r.crashes[id].at)}
 		for request, cleared := range r.crashes[id].runs {
 			if !cleared && r.blamed[request].crashes >= minSavedCrashes {
-				sent.Runs = append(sent.Runs, shelfshelf.CrashedRun{Request: request})
+				saved.Runs = append(saved.Runs, shelfshelf.CrashedRun{Request: request})
 			}
 		}
-		if len(sent.Runs) > 0 {
-			suspected = append(suspected, sent)
+		if len(saved.Runs) > 0 {
+			suspected = append(suspected, saved)
 		}
 	}
 	return suspected
