--- a/gossip/aggregate.go
+++ b/gossip/aggregate.go
@@ -9,125 +9,125 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-// Up to fullMesh instances of a data centre tell each other all they know at the full
+// Up to maxFullMeshInstances instances of a data centre tell each other all they know at the full
 // rate. Of more, the first few hear from everyone at that rate and tell everyone the sums;
 // any other two tell each other rarely, that they live and what they know of the
 // configuration. With a full mesh, each of 48 instances sent and received 190 statuses a
 // second, 57,000 over 295, which was most of what they did.
 const (
-	fullMesh = int(longestPeriod / periodPerInstance)
-	// aggregators is how many instances of a data centre tell the sums, so that one which
+	maxFullMeshInstances = int(maxStatusInterval / statusIntervalPerInstance)
+	// aggregatorCount is how many instances of a data centre tell the sums, so that one which
 	// dies is not missed.
-	aggregators = 2
-	// sparsePerInstance times the instances of the data centre is the pause between two
+	aggregatorCount = 2
+	// sparseIntervalPerInstance times the instances of the data centre is the pause between two
 	// statuses of two others: an instance hears some 50 of them a second at any size.
-	sparsePerInstance = 20 * time.Millisecond
-	// tellPause is the least time between two times that the digest of another data centre
+	sparseIntervalPerInstance = 20 * time.Millisecond
+	// digestForwardInterval is the least time between two times that the digest of another data centre
 	// is told to all of a large one: 48 instances x 5 digests of 3 KB every 250 ms would be
 	// 23 Mbit/s.
-	tellPause = 400 * time.Millisecond
-	// membersKept is how long a data centre's word on its instances counts: what is known
+	digestForwardInterval = 400 * time.Millisecond
+	// memberListLifetime is how long a data centre's word on its instances counts: what is known
 	// of them otherwise may be far older.
-	membersKept = 5 * time.Second
-	// silentPauses is how many pauses between statuses an instance may be silent and
+	memberListLifetime = 5 * time.Second
+	// silentIntervals is how many pauses between statuses an instance may be silent and
 	// still count as heard, at least SilentAfter.
-	silentPauses = 3
+	silentIntervals = 3
 )
 
-// sparse reports that this data centre is too large for everyone to tell everyone; the
+// isSparse reports that this data centre is too large for everyone to tell everyone; the
 // lock is held.
-func (n *Node) sparse() bool { return n.locals+1 > fullMesh }
+func (n *Node) isSparse() bool { return n.localPeers+1 > maxFullMeshInstances }
 
-// aggregates reports that an instance is one that tells the sums; the lock is held.
-func (n *Node) aggregates(id shelfshelf.InstanceID) bool {
-	return slices.Contains(n.first, id)
+// isAggregator reports that an instance is one that tells the sums; the lock is held.
+func (n *Node) isAggregator(id shelfshelf.InstanceID) bool {
+	return slices.Contains(n.aggregators, id)
 }
 
-// lookAround counts the instances of this data centre and finds those that tell the sums:
+// electAggregators counts the instances of this data centre and finds those that tell the sums:
 // of those that are heard and stay, the ones with the widest links. The lock is held.
-func (n *Node) lookAround(now time.Time) {
+func (n *Node) electAggregators(now time.Time) {
 	locals := 0
 	candidates := []shelfshelf.Instance{n.Self}
 	for _, p := range n.peers {
-		if !n.local(p.instance) || p.dormant {
+		if !n.isLocal(p.instance) || p.dormant {
 			continue
 		}
 		locals++
-		if p.heardBefore && now.Sub(p.heard) < n.silentAfter(p) && p.instance.State != shelfshelf.InstanceLeaving {
+		if p.seen && now.Sub(p.lastSeen) < n.silenceTimeout(p) && p.instance.State != shelfshelf.InstanceLeaving {
 			candidates = append(candidates, p.instance)
 		}
 	}
-	n.locals = locals
+	n.localPeers = locals
 	slices.SortFunc(candidates, compareInstances)
-	n.first = n.first[:0]
-	for _, instance := range candidates[:min(len(candidates), aggregators)] {
-		n.first = append(n.first, instance.ID)
+	n.aggregators = n.aggregators[:0]
+	for _, instance := range candidates[:min(len(candidates), aggregatorCount)] {
+		n.aggregators = append(n.aggregators, instance.ID)
 	}
 }
 
-// pause is the least time between two statuses for an instance of this data centre; the
+// statusInterval is the least time between two statuses for an instance of this data centre; the
 // lock is held.
-func (n *Node) pause(p *peerState) time.Duration {
-	pause := time.Duration(0)
-	if n.sparse() && !n.aggregates(n.Self.ID) && !n.aggregates(p.instance.ID) {
-		pause = time.Duration(n.locals) * sparsePerInstance
+func (n *Node) statusInterval(p *peerState) time.Duration {
+	interval := time.Duration(0)
+	if n.isSparse() && !n.isAggregator(n.Self.ID) && !n.isAggregator(p.instance.ID) {
+		interval = time.Duration(n.localPeers) * sparseIntervalPerInstance
 	}
 	switch {
 	case p.dormant:
-		return dormantPeriod
+		return dormantPeerInterval
 	case p.silent:
-		return max(pause, quietPeriod)
+		return max(interval, silentPeerInterval)
 	}
-	return pause
+	return interval
 }
 
-// silentAfter is how long an instance of this data centre may be silent and still count
+// silenceTimeout is how long an instance of this data centre may be silent and still count
 // as heard; the lock is held.
-func (n *Node) silentAfter(p *peerState) time.Duration {
+func (n *Node) silenceTimeout(p *peerState) time.Duration {
 	if p.dormant || p.silent {
 		return SilentAfter
 	}
-	return max(SilentAfter, silentPauses*n.pause(p))
+	return max(SilentAfter, silentIntervals*n.statusInterval(p))
 }
 
-// fresh reports that an instance of this data centre is heard; the lock is held.
-func (n *Node) fresh(p *peerState, now time.Time) bool {
-	return p.heardBefore && now.Sub(p.heard) < n.silentAfter(p)
+// isLive reports that an instance of this data centre is heard; the lock is held.
+func (n *Node) isLive(p *peerState, now time.Time) bool {
+	return p.seen && now.Sub(p.lastSeen) < n.silenceTimeout(p)
 }
 
-// ownDigest returns the sums of this data centre if this instance tells them.
-func (n *Node) ownDigest() (shelfshelf.Digest, bool) {
+// aggregatedDigest returns the sums of this data centre if this instance tells them.
+func (n *Node) aggregatedDigest() (shelfshelf.Digest, bool) {
 	n.mu.Lock()
-	tells := n.sparse() && n.aggregates(n.Self.ID)
+	aggregating := n.isSparse() && n.isAggregator(n.Self.ID)
 	n.mu.Unlock()
-	if !tells {
+	if !aggregating {
 		return shelfshelf.Digest{}, false
 	}
 	digest := n.Handler.Digest()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.describe(&digest, n.Clock.Now())
+	n.fillDigest(&digest, n.Clock.Now())
 	return digest, true
 }
 
-// describe fills in which data centre a digest is of, and its instances; the lock is held.
-func (n *Node) describe(digest *shelfshelf.Digest, now time.Time) {
+// fillDigest fills in which data centre a digest is of, and its instances; the lock is held.
+func (n *Node) fillDigest(digest *shelfshelf.Digest, now time.Time) {
 	digest.DataCentre = n.Self.DataCentre
-	digest.Instances = n.countLocal()
-	digest.Members = n.members(now)
+	digest.Instances = n.countLiveLocals()
+	digest.Members = n.liveMembers(now)
 }
 
-// members returns the instances of this data centre that are heard and stay, this one
+// liveMembers returns the instances of this data centre that are heard and stay, this one
 // included; the lock is held.
-func (n *Node) members(now time.Time) []shelfshelf.Member {
+func (n *Node) liveMembers(now time.Time) []shelfshelf.Member {
 	var members []shelfshelf.Member
 	if !n.leaving {
-		members = append(members, n.self)
+		members = append(members, n.selfMember)
 	}
 	for _, p := range n.peers {
 		stays := p.instance.State != shelfshelf.InstanceLeaving && p.address.IsValid()
-		if n.local(p.instance) && stays && n.fresh(p, now) {
-			members = append(members, p.member())
+		if n.isLocal(p.instance) && stays && n.isLive(p, now) {
+			members = append(members, p.asMember())
 		}
 	}
 	return members
@@ -141,19 +141,19 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.Clock.Now()
-	told := n.centres[centre]
-	heard := told != nil && now.Sub(told.at) < membersKept && len(told.digest.Members) > 0
+	state := n.dataCentres[centre]
+	current := state != nil && now.Sub(state.asOf) < memberListLifetime && len(state.digest.Members) > 0
 	own := centre == n.Self.DataCentre
-	if heard && (!own || n.sparse() && !n.aggregates(n.Self.ID)) {
-		return told.digest.Members
+	if current && (!own || n.isSparse() && !n.isAggregator(n.Self.ID)) {
+		return state.digest.Members
 	}
 	if own {
-		return n.members(now)
+		return n.liveMembers(now)
 	}
 	var members []shelfshelf.Member
 	for _, p := range n.peers {
 		if p.instance.DataCentre == centre && p.address.IsValid() && p.unanswered < suspectAfter {
-			members = append(members, p.member())
+			members = append(members, p.asMember())
 		}
 	}
 	return members
@@ -163,16 +163,16 @@
 // where no instance has been for 30 s: those of the first other one by name. There are none
 // where an instance may be, heard or not, since it may give out the same.
 func (n *Node) Substitutes(centre shelfshelf.DataCentre) []shelfshelf.Member {
-	first, empty := n.firstCentre(centre)
+	first, empty := n.firstDataCentre(centre)
 	if !empty {
 		return nil
 	}
 	return n.Members(first)
 }
 
-// firstCentre returns the first data centre by name that has instances, and whether another one
+// firstDataCentre returns the first data centre by name that has instances, and whether another one
 // has none.
-func (n *Node) firstCentre(other shelfshelf.DataCentre) (first shelfshelf.DataCentre, empty bool) {
+func (n *Node) firstDataCentre(other shelfshelf.DataCentre) (first shelfshelf.DataCentre, empty bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	first = n.Self.DataCentre
@@ -188,15 +188,15 @@
 	return first, other != n.Self.DataCentre
 }
 
-// member returns a peer as a member of its data centre.
-func (p *peerState) member() shelfshelf.Member {
+// asMember returns a peer as a asMember of its data centre.
+func (p *peerState) asMember() shelfshelf.Member {
 	if p.hash == 0 {
-		p.hash = hashOf(p.instance.ID)
+		p.hash = hashInstanceID(p.instance.ID)
 	}
 	return shelfshelf.Member{Hash: p.hash, Address: p.address}
 }
 
-func hashOf(id shelfshelf.InstanceID) uint64 { return xxhash.Sum64String(string(id)) }
+func hashInstanceID(id shelfshelf.InstanceID) uint64 { return xxhash.Sum64String(string(id)) }
 
 // HeardShare returns which part of the instances of this data centre are heard, this one
 // included: of those that there have been within the last 30 s and that have not said that they
@@ -207,11 +207,11 @@
 	now := n.Clock.Now()
 	known, heard := 1, 1
 	for _, p := range n.peers {
-		if !n.local(p.instance) || p.dormant || p.instance.State == shelfshelf.InstanceLeaving {
+		if !n.isLocal(p.instance) || p.dormant || p.instance.State == shelfshelf.InstanceLeaving {
 			continue
 		}
 		known++
-		if n.fresh(p, now) {
+		if n.isLive(p, now) {
 			heard++
 		}
 	}
--- a/gossip/aggregate_test.go
+++ b/gossip/aggregate_test.go
@@ -21,7 +21,7 @@
 	for i := range count {
 		n.hearOne(i, 1)
 	}
-	n.lookAround(clock.Now())
+	n.electAggregators(clock.Now())
 	return n, clock
 }
 
@@ -31,9 +31,9 @@
 		ID: shelfshelf.InstanceID(fmt.Sprintf("o%02d", i)), DataCentre: "dc", Address: fmt.Sprintf("127.0.0.1:%d", i+1),
 		LinkMbps: float64(100 - i),
 	}
-	p := n.learn(from, n.Clock.Now())
-	p.take(message{status: shelfshelf.Status{From: from, Incarnation: 1, Sequence: sequence, Revision: 1}}, n.Clock.Now())
-	p.heardBefore = true
+	p := n.ensurePeer(from, n.Clock.Now())
+	p.accept(message{status: shelfshelf.Status{From: from, Incarnation: 1, Sequence: sequence, Revision: 1}}, n.Clock.Now())
+	p.seen = true
 	p.silent = false
 }
 
@@ -41,27 +41,27 @@
 // and count as heard for as much longer.
 func TestOnlyLargeDataCentresAreSparse(t *testing.T) {
 	t.Parallel()
-	small, _ := crowd(fullMesh-1, 10)
+	small, _ := crowd(maxFullMeshInstances-1, 10)
 	for id, p := range small.peers {
-		if small.pause(p) != 0 || small.silentAfter(p) != SilentAfter {
-			t.Fatalf("%s of %d is told after %v", id, fullMesh, small.pause(p))
+		if small.statusInterval(p) != 0 || small.silenceTimeout(p) != SilentAfter {
+			t.Fatalf("%s of %d is told after %v", id, maxFullMeshInstances, small.statusInterval(p))
 		}
 	}
-	if _, tells := small.ownDigest(); tells {
+	if _, tells := small.aggregatedDigest(); tells {
 		t.Error("sums are told in a small data centre")
 	}
 	large, _ := crowd(47, 10)
 	for id, p := range large.peers {
-		pause := large.pause(p)
+		pause := large.statusInterval(p)
 		if first := id == "o00" || id == "o01"; first != (pause == 0) {
 			t.Errorf("%s is told after %v", id, pause)
 		}
-		if pause > 0 && large.silentAfter(p) < 2*pause {
-			t.Errorf("%s counts as silent after %v, and is told after %v", id, large.silentAfter(p), pause)
+		if pause > 0 && large.silenceTimeout(p) < 2*pause {
+			t.Errorf("%s counts as silent after %v, and is told after %v", id, large.silenceTimeout(p), pause)
 		}
 	}
 	wide, _ := crowd(47, 200)
-	if digest, tells := wide.ownDigest(); !tells || digest.DataCentre != "dc" || digest.Instances != 48 {
+	if digest, tells := wide.aggregatedDigest(); !tells || digest.DataCentre != "dc" || digest.Instances != 48 {
 		t.Errorf("the instance with the widest link tells %+v, %v", digest, tells)
 	}
 }
@@ -74,10 +74,10 @@
 	for i := 2; i < 47; i++ {
 		n.hearOne(i, 2)
 	}
-	n.dropSilent(clock.Now())
-	n.lookAround(clock.Now())
-	if !n.aggregates("o02") || !n.aggregates("o03") {
-		t.Errorf("sums are told by %v", n.first)
+	n.expirePeers(clock.Now())
+	n.electAggregators(clock.Now())
+	if !n.isAggregator("o02") || !n.isAggregator("o03") {
+		t.Errorf("sums are told by %v", n.aggregators)
 	}
 }
 
@@ -96,7 +96,7 @@
 		t.Errorf("two are lost: %v", got)
 	}
 	lose(last, "o02")
-	if got := last.Pace(); got != 48*pacePerInstance {
+	if got := last.Pace(); got != 48*storeRetryIntervalPerInstance {
 		t.Errorf("three are lost: %v", got)
 	}
 	clock.Advance(time.Minute)
--- a/gossip/directory_test.go
+++ b/gossip/directory_test.go
@@ -76,7 +76,7 @@
 				n.Init()
 				ctx, cancel := context.WithTimeout(t.Context(), 12*time.Second)
 				defer cancel()
-				if err := n.loopDirectory(ctx); err != nil {
+				if err := n.directoryLoop(ctx); err != nil {
 					t.Error(err)
 				}
 				if d.reads > c.reads || d.announce != c.announce || d.reads == 0 {
@@ -96,9 +96,9 @@
 	n.Init()
 	other := shelfshelf.Instance{ID: "o", DataCentre: "dc", Address: "127.0.0.1:1"}
 	hear := func(sequence uint64) {
-		p := n.learn(other, clock.Now())
-		p.take(message{status: shelfshelf.Status{From: other, Incarnation: 1, Sequence: sequence}}, clock.Now())
-		p.heardBefore = true
+		p := n.ensurePeer(other, clock.Now())
+		p.accept(message{status: shelfshelf.Status{From: other, Incarnation: 1, Sequence: sequence}}, clock.Now())
+		p.seen = true
 	}
 	hear(1)
 	for _, c := range []struct {
@@ -107,13 +107,13 @@
 		pause time.Duration
 	}{
 		{500 * time.Millisecond, 2, 0},
-		{2 * time.Second, 2, quietPeriod},
-		{forgetAfter, 1, dormantPeriod},
+		{2 * time.Second, 2, silentPeerInterval},
+		{dormantAfter, 1, dormantPeerInterval},
 	} {
 		clock.Advance(c.after)
-		n.dropSilent(clock.Now())
+		n.expirePeers(clock.Now())
 		p := n.peers["o"]
-		if p == nil || n.pause(p) != c.pause || n.Census().Known != c.known {
+		if p == nil || n.statusInterval(p) != c.pause || n.Census().Known != c.known {
 			t.Fatalf("after another %v: %+v, %+v", c.after, p, n.Census())
 		}
 	}
@@ -121,8 +121,8 @@
 	if p := n.peers["o"]; p.dormant || n.Census().Known != 2 {
 		t.Errorf("heard again: %+v, %+v", p, n.Census())
 	}
-	clock.Advance(forgetAfter + rememberFor + time.Second)
-	n.dropSilent(clock.Now())
+	clock.Advance(dormantAfter + dormantRetention + time.Second)
+	n.expirePeers(clock.Now())
 	if len(n.peers) > 0 {
 		t.Error("one that is gone is remembered for good")
 	}
--- a/gossip/exchange.go
+++ b/gossip/exchange.go
@@ -9,72 +9,72 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-// loopExchange exchanges digests with the other data centres, in turn with the
+// exchangeLoop exchanges digests with the other data centres, in turn with the
 // others of this one. Instances that started together begin at any point of their turn:
 // with the first one after a whole turn, all 48 of a data centre told the others at the
 // same moment and then for 4 s nobody, so that each data centre let through a sixth of
 // customers' limits.
-func (n *Node) loopExchange(ctx context.Context) error {
-	began := false
+func (n *Node) exchangeLoop(ctx context.Context) error {
+	started := false
 	for ctx.Err() == nil {
-		turn, met := n.exchangeTurn()
-		pause := jitter(turn)
+		interval, peerSeen := n.ownExchangeInterval()
+		pause := jitter(interval)
 		switch {
-		case !met:
-			pause = exchangePeriod
-		case !began:
-			began = true
-			pause = time.Duration(rand.Float64() * float64(turn))
+		case !peerSeen:
+			pause = exchangeInterval
+		case !started:
+			started = true
+			pause = time.Duration(rand.Float64() * float64(interval))
 		}
 		select {
 		case <-ctx.Done():
 		case <-n.Clock.After(pause):
 		}
-		if !n.exchanges() {
+		if !n.isExchanger() {
 			continue
 		}
-		for _, id := range n.pickRemotes() {
-			n.sendDigest(kindAsk, id)
+		for _, id := range n.pickExchangePeers() {
+			n.sendDigest(kindExchangeRequest, id)
 		}
 	}
 	return nil
 }
 
-// exchangeTurn returns how often this instance exchanges digests, and whether any other
+// ownExchangeInterval returns how often this instance exchanges digests, and whether any other
 // instance of its data centre has been heard: until then it doesn't know how many there are.
-func (n *Node) exchangeTurn() (turn time.Duration, met bool) {
+func (n *Node) ownExchangeInterval() (interval time.Duration, peerSeen bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	here := 1
+	exchangers := 1
 	for _, p := range n.peers {
-		if n.local(p.instance) && !p.silent {
-			here++
-			met = met || p.heardBefore
+		if n.isLocal(p.instance) && !p.silent {
+			exchangers++
+			peerSeen = peerSeen || p.seen
 		}
 	}
-	if n.sparse() {
-		here = len(n.first)
+	if n.isSparse() {
+		exchangers = len(n.aggregators)
 	}
-	return time.Duration(here) * exchangePeriod, met
+	return time.Duration(exchangers) * exchangeInterval, peerSeen
 }
 
-// exchanges reports that this instance is one of those that exchange digests: where the
+// isExchanger reports that this instance is one of those that exchange digests: where the
 // data centre is large, those that tell its sums.
-func (n *Node) exchanges() bool {
+func (n *Node) isExchanger() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return !n.sparse() || n.aggregates(n.Self.ID)
+	return !n.isSparse() || n.isAggregator(n.Self.ID)
 }
 
-// pickRemotes picks one instance of each other data centre, if possible one that
+// pickExchangePeers picks one instance of each other data centre, if possible one that
 // isn't silent; of a large one, one that tells its sums.
-func (n *Node) pickRemotes() []shelfshelf.InstanceID {
+func (n *Node) pickExchangePeers() []shelfshelf.InstanceID {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	live := make(map[shelfshelf.DataCentre][]shelfshelf.Instance)
 	all := make(map[shelfshelf.DataCentre][]shelfshelf.Instance)
 	for _, p := range n.peers {
-		if n.local(p.instance) {
+		if n.isLocal(p.instance) {
 			continue
 		}
 		centre := p.instance.DataCentre
@@ -85,12 +85,12 @@
 	}
 	var picked []shelfshelf.InstanceID
 	for centre, instances := range all {
-		large := len(instances) > fullMesh
-		if len(live[centre]) > 0 && rand.IntN(probeOneIn) > 0 {
+		large := len(instances) > maxFullMeshInstances
+		if len(live[centre]) > 0 && rand.IntN(suspectProbeOneIn) > 0 {
 			instances = live[centre]
 			if large {
 				slices.SortFunc(instances, compareInstances)
-				instances = instances[:min(len(instances), aggregators)]
+				instances = instances[:min(len(instances), aggregatorCount)]
 			}
 		}
 		picked = append(picked, instances[rand.IntN(len(instances))].ID)
@@ -111,13 +111,13 @@
 		n.mu.Unlock()
 		return
 	}
-	if k == kindAsk {
+	if k == kindExchangeRequest {
 		p.unanswered++
 	}
-	n.identify(&status)
-	n.describe(&digest, now)
+	n.setSender(&status)
+	n.fillDigest(&digest, now)
 	status.Digests = []shelfshelf.Digest{digest}
-	messages, addresses := n.address(k, status, []*peerState{p}, now)
+	messages, addresses := n.addressMessages(k, status, []*peerState{p}, now)
 	n.mu.Unlock()
 	n.send(messages[0], addresses[0])
 }
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -15,28 +15,28 @@
 )
 
 const (
-	// periodPerInstance times the instances of the data centre is the pause between
+	// statusIntervalPerInstance times the instances of the data centre is the pause between
 	// two statuses, so that an instance hears about as many a second at any size; the
 	// two below bound it.
-	periodPerInstance = 7 * time.Millisecond
-	shortestPeriod    = 30 * time.Millisecond
-	longestPeriod     = 250 * time.Millisecond
-	// exchangePeriod is how often a data centre exchanges digests with each other one,
+	statusIntervalPerInstance = 7 * time.Millisecond
+	minStatusInterval         = 30 * time.Millisecond
+	maxStatusInterval         = 250 * time.Millisecond
+	// exchangeInterval is how often a data centre exchanges digests with each other one,
 	// by any of its instances.
-	exchangePeriod = 80 * time.Millisecond
+	exchangeInterval = 80 * time.Millisecond
 	// SilentAfter is how long an instance or a data centre may be silent and still
 	// count as heard.
 	SilentAfter = time.Second
-	// quietPeriod is how often an instance that is silent is still told.
-	quietPeriod = 500 * time.Millisecond
-	// forgetAfter is how long a silent instance counts as one that there is, and
+	// silentPeerInterval is how often an instance that is silent is still told.
+	silentPeerInterval = 500 * time.Millisecond
+	// dormantAfter is how long a silent instance counts as one that there is, and
 	// rememberFor how long it is still told, every dormantPeriod: two sides of a cut that
 	// have forgotten each other would otherwise need the directory to meet again.
-	forgetAfter   = 30 * time.Second
-	rememberFor   = 10 * time.Minute
-	dormantPeriod = 5 * time.Second
-	// maxDatagram is the largest message, in bytes.
-	maxDatagram = 60 << 10
+	dormantAfter        = 30 * time.Second
+	dormantRetention    = 10 * time.Minute
+	dormantPeerInterval = 5 * time.Second
+	// maxDatagramBytes is the largest message, in bytes.
+	maxDatagramBytes = 60 << 10
 )
 
 // Handler takes and gives what messages carry.
@@ -83,59 +83,59 @@
 	Other       func(content []byte, from netip.AddrPort)
 	OtherMarker byte
 
-	start    time.Time
-	kick     chan struct{}
-	mu       sync.Mutex
-	peers    map[shelfshelf.InstanceID]*peerState
-	centres  map[shelfshelf.DataCentre]*centreState
-	sequence uint64
-	leaving  bool
-	// self is this instance as a member of its data centre.
-	self shelfshelf.Member
-	// locals counts the other instances of this data centre, and first are those that tell
+	startedAt   time.Time
+	sendNow     chan struct{}
+	mu          sync.Mutex
+	peers       map[shelfshelf.InstanceID]*peerState
+	dataCentres map[shelfshelf.DataCentre]*dataCentreState
+	sequence    uint64
+	leaving     bool
+	// selfMember is this instance as a member of its data centre.
+	selfMember shelfshelf.Member
+	// localPeers counts the other instances of this data centre, and first are those that tell
 	// its sums.
-	locals int
-	first  []shelfshelf.InstanceID
-	// listedAt is when the directory of instances was first read; zero if it never was.
-	listedAt time.Time
-	// othersKnown says that the instances of the other data centres are known as they were listed.
-	othersKnown bool
+	localPeers  int
+	aggregators []shelfshelf.InstanceID
+	// directoryReadAt is when the directory of instances was first read; zero if it never was.
+	directoryReadAt time.Time
+	// remotesKnown says that the instances of the other data centres are known as they were listed.
+	remotesKnown bool
 	// announcedAt is when this instance last announced itself, and lost receives when that may
 	// be gone.
-	announcedAt time.Time
-	lost        chan struct{}
+	announcedAt      time.Time
+	announcementLost chan struct{}
 }
 
 // Run announces this instance and exchanges messages until the context ends.
 func (n *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var group run.Group
-	group.Add(func() error { return n.loopReceive(ctx) }, func(error) {
+	group.Add(func() error { return n.receiveLoop(ctx) }, func(error) {
 		cancel()
 		_ = n.Conn.Close()
 	})
-	group.Add(func() error { return n.loopSend(ctx) }, func(error) { cancel() })
-	group.Add(func() error { return n.loopExchange(ctx) }, func(error) { cancel() })
-	group.Add(func() error { return n.loopDirectory(ctx) }, func(error) { cancel() })
+	group.Add(func() error { return n.sendLoop(ctx) }, func(error) { cancel() })
+	group.Add(func() error { return n.exchangeLoop(ctx) }, func(error) { cancel() })
+	group.Add(func() error { return n.directoryLoop(ctx) }, func(error) { cancel() })
 	return group.Run()
 }
 
 // Init begins the instance's life; it is called before Run and all else.
 func (n *Node) Init() {
-	n.kick = make(chan struct{}, 1)
-	n.lost = make(chan struct{}, 1)
-	n.start = n.Clock.Now()
+	n.sendNow = make(chan struct{}, 1)
+	n.announcementLost = make(chan struct{}, 1)
+	n.startedAt = n.Clock.Now()
 	n.peers = make(map[shelfshelf.InstanceID]*peerState)
-	n.centres = make(map[shelfshelf.DataCentre]*centreState)
+	n.dataCentres = make(map[shelfshelf.DataCentre]*dataCentreState)
 	if address, err := netip.ParseAddrPort(n.Self.Address); err == nil {
-		n.self = shelfshelf.Member{Hash: hashOf(n.Self.ID), Address: address}
+		n.selfMember = shelfshelf.Member{Hash: hashInstanceID(n.Self.ID), Address: address}
 	}
 }
 
 // Kick sends the next status at once, as after a change that others wait for.
 func (n *Node) Kick() {
 	select {
-	case n.kick <- struct{}{}:
+	case n.sendNow <- struct{}{}:
 	default:
 	}
 }
@@ -148,8 +148,8 @@
 	n.Kick()
 }
 
-func (n *Node) loopReceive(ctx context.Context) error {
-	buffer := make([]byte, maxDatagram)
+func (n *Node) receiveLoop(ctx context.Context) error {
+	buffer := make([]byte, maxDatagramBytes)
 	for {
 		size, from, err := n.Conn.ReadFrom(buffer)
 		if ctx.Err() != nil {
@@ -161,7 +161,7 @@
 			continue
 		}
 		if n.Other != nil && size > 0 && buffer[0] == n.OtherMarker {
-			n.passOn(buffer[:size], from)
+			n.handleOther(buffer[:size], from)
 			continue
 		}
 		m, err := decode(buffer[:size])
@@ -169,12 +169,12 @@
 			n.Log.Warn("A message can't be read.", "from", from, "error", err)
 			continue
 		}
-		n.receive(m)
+		n.handleMessage(m)
 	}
 }
 
-// passOn hands a datagram of another package on.
-func (n *Node) passOn(content []byte, from net.Addr) {
+// handleOther hands a datagram of another package on.
+func (n *Node) handleOther(content []byte, from net.Addr) {
 	if sender, ok := from.(*net.UDPAddr); ok {
 		address := sender.AddrPort()
 		n.Other(content, netip.AddrPortFrom(address.Addr().Unmap(), address.Port()))
@@ -189,63 +189,63 @@
 	}
 }
 
-// receive takes a message unless a newer one of its sender is known.
-func (n *Node) receive(m message) {
+// handleMessage takes a message unless a newer one of its sender is known.
+func (n *Node) handleMessage(m message) {
 	id := m.status.From.ID
 	if id == n.Self.ID {
 		return
 	}
 	now := n.Clock.Now()
 	n.mu.Lock()
-	p := n.learn(m.status.From, now)
-	if !p.take(m, now) {
+	p := n.ensurePeer(m.status.From, now)
+	if !p.accept(m, now) {
 		n.mu.Unlock()
 		return
 	}
-	back := p.silent || !p.heardBefore
+	regained := p.silent || !p.seen
 	p.silent = false
-	p.heardBefore = true
+	p.seen = true
 	var at time.Time
 	if m.echoIncarnation == n.Incarnation {
-		at = n.start.Add(m.echo)
+		at = n.startedAt.Add(m.echo)
 	}
 	var fresh []shelfshelf.Digest
 	for _, digest := range m.status.Digests {
-		if n.takeDigest(digest, now, m.kind != kindStatus) {
+		if n.storeDigest(digest, now, m.kind != kindStatus) {
 			fresh = append(fresh, digest)
 		}
 	}
 	n.mu.Unlock()
-	if back && n.local(m.status.From) {
+	if regained && n.isLocal(m.status.From) {
 		n.Log.Info("An instance is heard.", "instance", id, "address", m.status.From.Address)
 	}
 	n.Handler.Heard(m.status, at)
 	for _, digest := range fresh {
 		n.Handler.HeardDigest(digest)
 	}
-	if m.kind == kindAsk {
-		n.sendDigest(kindAnswer, id)
+	if m.kind == kindExchangeRequest {
+		n.sendDigest(kindExchangeReply, id)
 	}
 }
 
-// local reports that an instance is in this data centre.
-func (n *Node) local(instance shelfshelf.Instance) bool {
+// isLocal reports that an instance is in this data centre.
+func (n *Node) isLocal(instance shelfshelf.Instance) bool {
 	return instance.DataCentre == n.Self.DataCentre
 }
 
-// loopSend tells the instances of this data centre.
-func (n *Node) loopSend(ctx context.Context) error {
-	kicked := false
+// sendLoop tells the instances of this data centre.
+func (n *Node) sendLoop(ctx context.Context) error {
+	immediate := false
 	for {
-		locals := n.sendStatus(kicked)
-		period := time.Duration(locals+1) * periodPerInstance
-		period = jitter(min(max(period, shortestPeriod), longestPeriod))
-		kicked = false
+		locals := n.sendStatus(immediate)
+		period := time.Duration(locals+1) * statusIntervalPerInstance
+		period = jitter(min(max(period, minStatusInterval), maxStatusInterval))
+		immediate = false
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-n.kick:
-			kicked = true
+		case <-n.sendNow:
+			immediate = true
 		case <-n.Clock.After(period):
 		}
 	}
@@ -253,44 +253,44 @@
 
 // sendStatus sends this instance's status to the others of its data centre, to all of them
 // if kicked, and returns how many there are.
-func (n *Node) sendStatus(kicked bool) int {
+func (n *Node) sendStatus(immediate bool) int {
 	status := n.Handler.Status()
 	status.Speeds = n.Handler.Observations()
-	sums, tells := n.ownDigest()
+	ownDigest, aggregating := n.aggregatedDigest()
 	// Those that tell the sums of a large data centre hear what others don't.
-	status.Crashes = n.Handler.Crashes(tells)
+	status.Crashes = n.Handler.Crashes(aggregating)
 	now := n.Clock.Now()
 	n.mu.Lock()
-	n.identify(&status)
-	room := maxDatagram - statusSize(status)
-	if tells {
-		room -= digestSize(sums)
+	n.setSender(&status)
+	room := maxDatagramBytes - maxStatusSize(status)
+	if aggregating {
+		room -= maxDigestSize(ownDigest)
 	}
-	status.Digests = n.takeUntold(now, room)
-	if tells {
-		status.Digests = append(status.Digests, sums)
+	status.Digests = n.takePendingDigests(now, room)
+	if aggregating {
+		status.Digests = append(status.Digests, ownDigest)
 	}
-	n.dropSilent(now)
-	n.lookAround(now)
+	n.expirePeers(now)
+	n.electAggregators(now)
 	var due []*peerState
-	locals := n.locals
+	locals := n.localPeers
 	for _, p := range n.peers {
-		if !n.local(p.instance) {
+		if !n.isLocal(p.instance) {
 			continue
 		}
-		pause := n.pause(p)
-		if early := now.Sub(p.told) < pause; early && (!kicked || p.silent) {
+		pause := n.statusInterval(p)
+		if tooEarly := now.Sub(p.lastSent) < pause; tooEarly && (!immediate || p.silent) {
 			continue
 		}
-		first := p.told.IsZero()
-		p.told = now
+		first := p.lastSent.IsZero()
+		p.lastSent = now
 		if first {
 			// Those that are told together the first time are told in turn from then on.
-			p.told = now.Add(-time.Duration(rand.Float64() * float64(pause)))
+			p.lastSent = now.Add(-time.Duration(rand.Float64() * float64(pause)))
 		}
 		due = append(due, p)
 	}
-	messages, addresses := n.address(kindStatus, status, due, now)
+	messages, addresses := n.addressMessages(kindStatus, status, due, now)
 	n.mu.Unlock()
 	for i := range messages {
 		n.send(messages[i], addresses[i])
@@ -298,8 +298,8 @@
 	return locals
 }
 
-// identify fills in who a status is from; the lock is held.
-func (n *Node) identify(status *shelfshelf.Status) {
+// setSender fills in who a status is from; the lock is held.
+func (n *Node) setSender(status *shelfshelf.Status) {
 	n.sequence++
 	status.From = n.Self
 	status.Incarnation = n.Incarnation
@@ -309,13 +309,13 @@
 	}
 }
 
-// address makes a message for each receiver; the lock is held.
-func (n *Node) address(k kind, status shelfshelf.Status, to []*peerState, now time.Time) ([]message, []netip.AddrPort) {
+// addressMessages makes a message for each receiver; the lock is held.
+func (n *Node) addressMessages(k kind, status shelfshelf.Status, to []*peerState, now time.Time) ([]message, []netip.AddrPort) {
 	messages := make([]message, len(to))
 	addresses := make([]netip.AddrPort, len(to))
 	for i, p := range to {
 		messages[i] = message{
-			kind: k, status: status, stamp: now.Sub(n.start), echo: p.stamp, echoIncarnation: p.incarnation,
+			kind: k, status: status, timestamp: now.Sub(n.startedAt), echo: p.timestamp, echoIncarnation: p.incarnation,
 		}
 		addresses[i] = p.address
 	}
@@ -328,7 +328,7 @@
 		n.Log.Error("A message can't be encoded.", "error", err)
 		return
 	}
-	if len(content) > maxDatagram {
+	if len(content) > maxDatagramBytes {
 		n.Log.Error("A message is too large to be sent.", "to", to, "bytes", len(content),
 			"loads", len(m.status.Loads), "uses", len(m.status.Uses), "digests", len(m.status.Digests))
 		return
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -30,7 +30,7 @@
 			}
 		}), 1, 5).Draw(t, "loads")
 		sent := message{
-			kind: kindAsk,
+			kind: kindExchangeRequest,
 			status: shelfshelf.Status{
 				From: shelfshelf.Instance{
 					ID: "a", DataCentre: "z", Address: "10.0.0.1:1", State: shelfshelf.InstanceLive,
@@ -76,7 +76,7 @@
 					Uses: []shelfshelf.CustomerUse{{Customer: 7, Amount: 12}}, Speeds: []shelfshelf.TargetSpeed{},
 				}},
 			},
-			stamp: time.Duration(rapid.Int64().Draw(t, "stamp")), echo: time.Second, echoIncarnation: 5,
+			timestamp: time.Duration(rapid.Int64().Draw(t, "stamp")), echo: time.Second, echoIncarnation: 5,
 		}
 		content, err := encode(sent)
 		if err != nil {
@@ -250,9 +250,9 @@
 func TestOldMessagesAreDropped(t *testing.T) {
 	n := &Node{Clock: clockwork.NewRealClock(), Log: log.New(io.Discard), peers: make(map[shelfshelf.InstanceID]*peerState)}
 	now := time.Now()
-	p := n.learn(shelfshelf.Instance{ID: "a", Address: "127.0.0.1:1"}, now)
+	p := n.ensurePeer(shelfshelf.Instance{ID: "a", Address: "127.0.0.1:1"}, now)
 	word := func(incarnation, sequence uint64) bool {
-		return p.take(message{status: shelfshelf.Status{
+		return p.accept(message{status: shelfshelf.Status{
 			From: shelfshelf.Instance{ID: "a", Address: "127.0.0.1:1"}, Incarnation: incarnation, Sequence: sequence,
 		}}, now)
 	}
@@ -270,7 +270,7 @@
 // 100 KB: a status carries those that have room and keeps the others for the next one.
 func TestMessagesHaveRoomInDatagrams(t *testing.T) {
 	const targets, customers, centres = 600, 520, 5
-	n := &Node{Clock: clockwork.NewRealClock(), Log: log.New(io.Discard), centres: make(map[shelfshelf.DataCentre]*centreState)}
+	n := &Node{Clock: clockwork.NewRealClock(), Log: log.New(io.Discard), dataCentres: make(map[shelfshelf.DataCentre]*dataCentreState)}
 	var digest shelfshelf.Digest
 	for i := range targets {
 		key := shelfshelf.TargetKey(math.MaxUint32 - i)
@@ -290,15 +290,15 @@
 	status := shelfshelf.Status{Loads: digest.Loads, Uses: digest.Uses}
 	told := make(map[shelfshelf.DataCentre]int)
 	for range centres {
-		status.Digests = n.takeUntold(now, maxDatagram-statusSize(status))
+		status.Digests = n.takePendingDigests(now, maxDatagramBytes-maxStatusSize(status))
 		for _, d := range status.Digests {
 			told[d.DataCentre]++
 		}
 		content, err := encode(message{kind: kindStatus, status: status})
-		if err != nil || len(content) > maxDatagram {
+		if err != nil || len(content) > maxDatagramBytes {
 			t.Errorf("a status has %d bytes: %v", len(content), err)
 		}
-		if got, bound := len(content), statusSize(status)+len(status.Digests)*digestSize(digest); got > bound {
+		if got, bound := len(content), maxStatusSize(status)+len(status.Digests)*maxDigestSize(digest); got > bound {
 			t.Errorf("%d bytes are more than the bound of %d", got, bound)
 		}
 	}
@@ -314,7 +314,7 @@
 
 func (n *Node) takeDigestOf(centre shelfshelf.DataCentre, digest shelfshelf.Digest, now time.Time) {
 	digest.DataCentre = centre
-	n.takeDigest(digest, now, true)
+	n.storeDigest(digest, now, true)
 }
 
 // The instance with the widest link reads the store for the others, whatever its name;
@@ -342,9 +342,9 @@
 			}
 			for id, link := range c.peers {
 				from := shelfshelf.Instance{ID: id, DataCentre: "dc", Address: "127.0.0.1:1", LinkMbps: link}
-				p := n.learn(from, now)
-				p.take(message{status: shelfshelf.Status{From: from, Incarnation: 1, Revision: 1}}, now)
-				p.heardBefore = true
+				p := n.ensurePeer(from, now)
+				p.accept(message{status: shelfshelf.Status{From: from, Incarnation: 1, Revision: 1}}, now)
+				p.seen = true
 			}
 			if got := n.First(); got != c.want {
 				t.Errorf("first: %v", got)
--- a/gossip/peers.go
+++ b/gossip/peers.go
@@ -12,8 +12,8 @@
 	// suspectAfter is how many exchanges in a row an instance of another data centre
 	// may leave unanswered before others are asked instead.
 	suspectAfter = 2
-	// probeOneIn is how rarely suspects are asked all the same.
-	probeOneIn = 8
+	// suspectProbeOneIn is how rarely suspects are asked all the same.
+	suspectProbeOneIn = 8
 )
 
 // peerState is what is known of another instance.
@@ -24,16 +24,16 @@
 	hash        uint64
 	incarnation uint64
 	sequence    uint64
-	// stamp is the sender's clock in its latest message.
-	stamp time.Duration
-	// heard is when the latest message came, learned when it was first named, told
+	// timestamp is the sender's clock in its latest message.
+	timestamp time.Duration
+	// lastSeen is when the latest message came, learned when it was first named, told
 	// when it was last sent one.
-	heard   time.Time
-	learned time.Time
-	told    time.Time
-	// heardBefore and silent tell what was logged last.
-	heardBefore bool
-	silent      bool
+	lastSeen     time.Time
+	discoveredAt time.Time
+	lastSent     time.Time
+	// seen and silent tell what was logged last.
+	seen   bool
+	silent bool
 	// dormant says that it has been silent for so long that it no longer counts.
 	dormant    bool
 	sourceLost bool
@@ -44,19 +44,19 @@
 	unanswered int
 }
 
-// centreState is what is known of another data centre.
-type centreState struct {
-	// at is when its latest digest was made, and untold whether this instance must
+// dataCentreState is what is known of another data centre.
+type dataCentreState struct {
+	// asOf is when its latest digest was made, and untold whether this instance must
 	// still pass it on.
-	at     time.Time
-	digest shelfshelf.Digest
-	untold bool
-	// toldAt is when it was passed on last.
-	toldAt time.Time
+	asOf           time.Time
+	digest         shelfshelf.Digest
+	forwardPending bool
+	// forwardedAt is when it was passed on last.
+	forwardedAt time.Time
 }
 
-// take notes a message; it returns false if a newer one is known.
-func (p *peerState) take(m message, now time.Time) bool {
+// accept notes a message; it returns false if a newer one is known.
+func (p *peerState) accept(m message, now time.Time) bool {
 	newer := m.status.Incarnation > p.incarnation ||
 		m.status.Incarnation == p.incarnation && m.status.Sequence > p.sequence
 	if !newer || p.address == (netip.AddrPort{}) {
@@ -64,8 +64,8 @@
 	}
 	p.incarnation = m.status.Incarnation
 	p.sequence = m.status.Sequence
-	p.stamp = m.stamp
-	p.heard = now
+	p.timestamp = m.timestamp
+	p.lastSeen = now
 	p.instance = m.status.From
 	p.sourceLost = m.status.SourceLost
 	p.revision = m.status.Revision
@@ -75,11 +75,11 @@
 	return true
 }
 
-// learn notes that an instance exists; the lock is held.
-func (n *Node) learn(instance shelfshelf.Instance, now time.Time) *peerState {
+// ensurePeer notes that an instance exists; the lock is held.
+func (n *Node) ensurePeer(instance shelfshelf.Instance, now time.Time) *peerState {
 	p := n.peers[instance.ID]
 	if p == nil {
-		p = &peerState{instance: instance, learned: now}
+		p = &peerState{instance: instance, discoveredAt: now}
 		n.peers[instance.ID] = p
 	}
 	if p.address.String() != instance.Address {
@@ -93,78 +93,78 @@
 	return p
 }
 
-// takeDigest notes a digest that is newer than the one known; the lock is held.
+// storeDigest notes a digest that is newer than the one known; the lock is held.
 // One that came straight from its data centre is to be passed on.
-func (n *Node) takeDigest(digest shelfshelf.Digest, now time.Time, direct bool) bool {
+func (n *Node) storeDigest(digest shelfshelf.Digest, now time.Time, direct bool) bool {
 	own := digest.DataCentre == n.Self.DataCentre
-	if own && n.aggregates(n.Self.ID) {
+	if own && n.isAggregator(n.Self.ID) {
 		return false
 	}
-	c := n.centres[digest.DataCentre]
+	c := n.dataCentres[digest.DataCentre]
 	if c == nil {
-		c = &centreState{}
-		n.centres[digest.DataCentre] = c
+		c = &dataCentreState{}
+		n.dataCentres[digest.DataCentre] = c
 	}
 	at := now.Add(-digest.Age)
-	if !at.After(c.at) {
+	if !at.After(c.asOf) {
 		return false
 	}
-	c.at = at
+	c.asOf = at
 	c.digest = digest
-	c.untold = direct && !own
+	c.forwardPending = direct && !own
 	return true
 }
 
-// takeUntold returns the digests that are to be passed on and have room in so many bytes,
+// takePendingDigests returns the digests that are to be passed on and have room in so many bytes,
 // at least one; the others wait for the next status. The lock is held. At 600 targets and
 // 520 customers a digest has some 20 KB, and a datagram larger than maxDatagram is not sent.
-func (n *Node) takeUntold(now time.Time, room int) []shelfshelf.Digest {
+func (n *Node) takePendingDigests(now time.Time, room int) []shelfshelf.Digest {
 	var digests []shelfshelf.Digest
-	for _, c := range n.centres {
-		size := digestSize(c.digest)
-		early := n.sparse() && now.Sub(c.toldAt) < tellPause
-		if !c.untold || early || len(digests) > 0 && size > room {
+	for _, c := range n.dataCentres {
+		size := maxDigestSize(c.digest)
+		tooEarly := n.isSparse() && now.Sub(c.forwardedAt) < digestForwardInterval
+		if !c.forwardPending || tooEarly || len(digests) > 0 && size > room {
 			continue
 		}
-		c.untold = false
-		c.toldAt = now
+		c.forwardPending = false
+		c.forwardedAt = now
 		room -= size
 		digest := c.digest
-		digest.Age = now.Sub(c.at)
+		digest.Age = now.Sub(c.asOf)
 		digests = append(digests, digest)
 	}
 	return digests
 }
 
-// dropSilent marks instances of this data centre that have fallen silent, and
+// expirePeers marks instances of this data centre that have fallen silent, and
 // forgets those that have been for long; the lock is held.
-func (n *Node) dropSilent(now time.Time) {
+func (n *Node) expirePeers(now time.Time) {
 	for id, p := range n.peers {
-		last := p.heard
+		last := p.lastSeen
 		if last.IsZero() {
-			last = p.learned
+			last = p.discoveredAt
 		}
-		quiet := now.Sub(last)
-		if n.local(p.instance) && !p.silent && quiet > n.silentAfter(p) {
+		silence := now.Sub(last)
+		if n.isLocal(p.instance) && !p.silent && silence > n.silenceTimeout(p) {
 			p.silent = true
-			n.Log.Warn("An instance is silent.", "instance", id, "quiet", quiet)
+			n.Log.Warn("An instance is silent.", "instance", id, "quiet", silence)
 		}
-		if quiet > forgetAfter && n.local(p.instance) {
+		if silence > dormantAfter && n.isLocal(p.instance) {
 			p.dormant = true
-			p.heardBefore = false
+			p.seen = false
 		}
-		if quiet > forgetAfter+rememberFor && n.local(p.instance) {
+		if silence > dormantAfter+dormantRetention && n.isLocal(p.instance) {
 			delete(n.peers, id)
 		}
 	}
 }
 
-// countLocal returns how many instances of this data centre are heard, this one
+// countLiveLocals returns how many instances of this data centre are heard, this one
 // included; the lock is held.
-func (n *Node) countLocal() int {
+func (n *Node) countLiveLocals() int {
 	count := 1
 	for _, p := range n.peers {
-		if n.local(p.instance) && !p.silent && !p.heard.IsZero() {
+		if n.isLocal(p.instance) && !p.silent && !p.lastSeen.IsZero() {
 			count++
 		}
 	}
@@ -187,28 +187,28 @@
 	defer n.mu.Unlock()
 	now := n.Clock.Now()
 	census := Census{Known: 1, Heard: 1}
-	listed := make(map[shelfshelf.DataCentre]int)
+	knownRemotes := make(map[shelfshelf.DataCentre]int)
 	for _, p := range n.peers {
-		if !n.local(p.instance) {
-			listed[p.instance.DataCentre]++
+		if !n.isLocal(p.instance) {
+			knownRemotes[p.instance.DataCentre]++
 			continue
 		}
-		if p.heardBefore {
+		if p.seen {
 			census.Known++
 		}
-		if n.fresh(p, now) {
+		if n.isLive(p, now) {
 			census.Heard++
 		}
 	}
 	census.Local = census.Heard
-	starting := now.Sub(n.start) < SilentAfter
-	for centre, count := range listed {
-		c := n.centres[centre]
+	starting := now.Sub(n.startedAt) < SilentAfter
+	for centre, count := range knownRemotes {
+		c := n.dataCentres[centre]
 		if c == nil && starting {
 			// Nobody has had the time to be heard: all may have started together.
 			continue
 		}
-		if c == nil || now.Sub(c.at) >= SilentAfter {
+		if c == nil || now.Sub(c.asOf) >= SilentAfter {
 			census.Known += count
 			continue
 		}
@@ -229,9 +229,9 @@
 	defer n.mu.Unlock()
 	now := n.Clock.Now()
 	for _, p := range n.peers {
-		fit := n.local(p.instance) && n.fresh(p, now) && !p.sourceLost &&
+		eligible := n.isLocal(p.instance) && n.isLive(p, now) && !p.sourceLost &&
 			p.revision > 0 && p.instance.State != shelfshelf.InstanceLeaving
-		if fit && n.before(p.instance) {
+		if eligible && n.precedesSelf(p.instance) {
 			return false
 		}
 	}
@@ -239,12 +239,12 @@
 }
 
 const (
-	// lostProbers is how many instances of a data centre, in their order, go on trying a
+	// storeProbers is how many instances of a data centre, in their order, go on trying a
 	// store that fails them.
-	lostProbers = 3
-	// pacePerInstance times the instances of the data centre is the mean time between two
+	storeProbers = 3
+	// storeRetryIntervalPerInstance times the instances of the data centre is the mean time between two
 	// tries of any other one: all of them together try ten times a second.
-	pacePerInstance = 100 * time.Millisecond
+	storeRetryIntervalPerInstance = 100 * time.Millisecond
 )
 
 // Pace returns the mean time between two reads of the store by this instance while it
@@ -255,23 +255,23 @@
 	now := n.Clock.Now()
 	lost, locals := 0, 1
 	for _, p := range n.peers {
-		if !n.local(p.instance) || !n.fresh(p, now) {
+		if !n.isLocal(p.instance) || !n.isLive(p, now) {
 			continue
 		}
 		locals++
-		if p.sourceLost && n.before(p.instance) {
+		if p.sourceLost && n.precedesSelf(p.instance) {
 			lost++
 		}
 	}
-	if lost < lostProbers {
+	if lost < storeProbers {
 		return 0
 	}
-	return time.Duration(locals) * pacePerInstance
+	return time.Duration(locals) * storeRetryIntervalPerInstance
 }
 
-// before reports that another instance goes before this one where one does something for
+// precedesSelf reports that another instance goes precedesSelf this one where one does something for
 // all: the one with the wider link, and of equal ones the first by name.
-func (n *Node) before(other shelfshelf.Instance) bool {
+func (n *Node) precedesSelf(other shelfshelf.Instance) bool {
 	return compareInstances(other, n.Self) < 0
 }
 
@@ -297,12 +297,12 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.Clock.Now()
-	started := Started{Running: now.Sub(n.start), Listed: -1}
-	if !n.listedAt.IsZero() {
-		started.Listed = now.Sub(n.listedAt)
+	started := Started{Running: now.Sub(n.startedAt), Listed: -1}
+	if !n.directoryReadAt.IsZero() {
+		started.Listed = now.Sub(n.directoryReadAt)
 	}
 	for _, p := range n.peers {
-		if n.local(p.instance) && !p.dormant && p.instance.State != shelfshelf.InstanceLeaving && n.before(p.instance) {
+		if n.isLocal(p.instance) && !p.dormant && p.instance.State != shelfshelf.InstanceLeaving && n.precedesSelf(p.instance) {
 			started.Before++
 		}
 	}
@@ -311,13 +311,13 @@
 
 // Knowing returns the addresses of those instances of this data centre that are heard and
 // fulfil a condition on what they told.
-func (n *Node) Knowing(fit func(Told) bool) []string {
+func (n *Node) Knowing(matches func(Told) bool) []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.Clock.Now()
 	var addresses []string
 	for _, p := range n.peers {
-		if n.local(p.instance) && n.fresh(p, now) && fit(Told{Revision: p.revision, Recalled: p.recalled}) {
+		if n.isLocal(p.instance) && n.isLive(p, now) && matches(Told{Revision: p.revision, Recalled: p.recalled}) {
 			addresses = append(addresses, p.instance.Address)
 		}
 	}
@@ -329,7 +329,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, p := range n.peers {
-		if n.local(p.instance) && p.instance.Address == address {
+		if n.isLocal(p.instance) && p.instance.Address == address {
 			return true
 		}
 	}
@@ -349,8 +349,8 @@
 	defer n.mu.Unlock()
 	now := n.Clock.Now()
 	before := 0
-	for name, c := range n.centres {
-		if name < n.Self.DataCentre && now.Sub(c.at) < SilentAfter {
+	for name, c := range n.dataCentres {
+		if name < n.Self.DataCentre && now.Sub(c.asOf) < SilentAfter {
 			before++
 		}
 	}
@@ -362,13 +362,13 @@
 func (n *Node) SpreadTime() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	period := min(max(time.Duration(n.countLocal())*periodPerInstance, shortestPeriod), longestPeriod)
-	return 2*period + exchangePeriod
+	period := min(max(time.Duration(n.countLiveLocals())*statusIntervalPerInstance, minStatusInterval), maxStatusInterval)
+	return 2*period + exchangeInterval
 }
 
-// rolloutMemory is how long an instance of this data centre that is no longer heard still
+// rolloutGracePeriod is how long an instance of this data centre that is no longer heard still
 // counts as one that may be sending requests.
-const rolloutMemory = 4 * time.Second
+const rolloutGracePeriod = 4 * time.Second
 
 // Addresses returns those of the other instances that were heard of lately, of this data
 // centre or of all.
@@ -378,9 +378,9 @@
 	now := n.Clock.Now()
 	var addresses []string
 	for _, p := range n.peers {
-		local := n.local(p.instance)
-		heard := local && (n.fresh(p, now) || now.Sub(p.heard) < rolloutMemory) || !local && !p.dormant
-		if heard && (all || local) {
+		local := n.isLocal(p.instance)
+		recent := local && (n.isLive(p, now) || now.Sub(p.lastSeen) < rolloutGracePeriod) || !local && !p.dormant
+		if recent && (all || local) {
 			addresses = append(addresses, p.instance.Address)
 		}
 	}
--- a/gossip/wire.go
+++ b/gossip/wire.go
@@ -18,13 +18,13 @@
 
 // The most bytes that one entry takes in CBOR, and all else of a message or a digest.
 const (
-	loadSize   = 17
-	useSize    = 15
-	speedSize  = 16
-	memberSize = 32
-	framesSize = 400
-	// nameFrame is what a name takes beside its letters.
-	nameFrame = 5
+	maxLoadSize     = 17
+	maxUseSize      = 15
+	maxSpeedSize    = 16
+	maxMemberSize   = 32
+	maxEnvelopeSize = 400
+	// maxNameOverhead is what a name takes beside its letters.
+	maxNameOverhead = 5
 )
 
 // portBytes is the size of a port behind an IP.
@@ -36,18 +36,18 @@
 const (
 	// kindStatus is for the sender's own data centre.
 	kindStatus kind = iota + 1
-	// kindAsk is for another data centre, which is to answer with kindAnswer.
-	kindAsk
-	kindAnswer
+	// kindExchangeRequest is for another data centre, which is to answer with kindAnswer.
+	kindExchangeRequest
+	kindExchangeReply
 )
 
 // message is one datagram: a status with the stamps of its two ends.
 type message struct {
 	kind   kind
 	status shelfshelf.Status
-	// stamp is the sender's clock, echo the receiver's own stamp that the sender has
+	// timestamp is the sender's clock, echo the receiver's own timestamp that the sender has
 	// seen last and echoIncarnation whose life that was in; both since the start.
-	stamp           time.Duration
+	timestamp       time.Duration
 	echo            time.Duration
 	echoIncarnation uint64
 }
@@ -63,7 +63,7 @@
 		State           uint8
 		Incarnation     uint64
 		Sequence        uint64
-		Stamp           int64
+		Timestamp       int64
 		Echo            int64
 		EchoIncarnation uint64
 		Revision        uint64
@@ -124,24 +124,24 @@
 	}
 )
 
-// statusSize bounds the size of a status without its digests, in bytes.
-func statusSize(s shelfshelf.Status) int {
-	return framesSize + loadSize*len(s.Loads) + useSize*(len(s.Uses)+len(s.EndedUses)) + speedSize*len(s.Speeds) +
-		namesSize(s.Evacuated.DataCentres) + announced.WireSize*len(s.Words) + crashes.WireSize(s.Crashes) + rollout.WireSize(s.Rollouts)
+// maxStatusSize bounds the size of a status without its digests, in bytes.
+func maxStatusSize(s shelfshelf.Status) int {
+	return maxEnvelopeSize + maxLoadSize*len(s.Loads) + maxUseSize*(len(s.Uses)+len(s.EndedUses)) + maxSpeedSize*len(s.Speeds) +
+		maxNamesSize(s.Evacuated.DataCentres) + announced.WireSize*len(s.Words) + crashes.WireSize(s.Crashes) + rollout.WireSize(s.Rollouts)
 }
 
-// namesSize bounds the size of names of data centres, in bytes.
-func namesSize(centres []shelfshelf.DataCentre) int {
+// maxNamesSize bounds the size of names of data centres, in bytes.
+func maxNamesSize(centres []shelfshelf.DataCentre) int {
 	size := 0
 	for _, centre := range centres {
-		size += nameFrame + len(centre)
+		size += maxNameOverhead + len(centre)
 	}
 	return size
 }
 
-// digestSize bounds the size of a digest, in bytes.
-func digestSize(d shelfshelf.Digest) int {
-	return framesSize + memberSize*len(d.Members) + loadSize*len(d.Loads) + useSize*len(d.Uses) + speedSize*len(d.Speeds)
+// maxDigestSize bounds the size of a digest, in bytes.
+func maxDigestSize(d shelfshelf.Digest) int {
+	return maxEnvelopeSize + maxMemberSize*len(d.Members) + maxLoadSize*len(d.Loads) + maxUseSize*len(d.Uses) + maxSpeedSize*len(d.Speeds)
 }
 
 func encode(m message) ([]byte, error) {
@@ -155,7 +155,7 @@
 		State:           uint8(s.From.State),
 		Incarnation:     s.Incarnation,
 		Sequence:        s.Sequence,
-		Stamp:           int64(m.stamp),
+		Timestamp:       int64(m.timestamp),
 		Echo:            int64(m.echo),
 		EchoIncarnation: m.echoIncarnation,
 		Revision:        uint64(s.Revision),
@@ -232,7 +232,7 @@
 			Words:          announced.FromWire(wire.Words),
 			Evacuated:      shelfshelf.Evacuated{DataCentres: namesFromWire(wire.Evacuated), AsOf: wire.EvacuatedAsOf},
 		},
-		stamp:           time.Duration(wire.Stamp),
+		timestamp:       time.Duration(wire.Timestamp),
 		echo:            time.Duration(wire.Echo),
 		echoIncarnation: wire.EchoIncarnation,
 	}
