--- a/gossip/aggregate_test.go
+++ b/gossip/aggregate_test.go
@@ -12,21 +12,21 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-// crowd returns an instance that has heard so many others of its data centre, the first
-// of them with the widest links.
-func crowd(count int, self float64) (*Node, *clockwork.FakeClock) {
+// newNodeWithPeers returns a node that has received a status from count other instances of its data
+// centre; those with lower numbers have wider links.
+func newNodeWithPeers(count int, selfLink float64) (*Node, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClock()
-	n := &Node{Clock: clock, Log: log.New(io.Discard), Self: shelfshelf.Instance{ID: "m", DataCentre: "dc", LinkMbps: self}, Handler: &member{}}
+	n := &Node{Clock: clock, Log: log.New(io.Discard), Self: shelfshelf.Instance{ID: "m", DataCentre: "dc", LinkMbps: selfLink}, Handler: &testInstance{}}
 	n.Init()
 	for i := range count {
-		n.hearOne(i, 1)
+		n.receiveFromPeer(i, 1)
 	}
 	n.electAggregators(clock.Now())
 	return n, clock
 }
 
-// hearOne hears one of the others.
-func (n *Node) hearOne(i int, sequence uint64) {
+// receiveFromPeer simulates a status from peer number i.
+func (n *Node) receiveFromPeer(i int, sequence uint64) {
 	from := shelfshelf.Instance{
 		ID: shelfshelf.InstanceID(fmt.Sprintf("o%02d", i)), DataCentre: "dc", Address: fmt.Sprintf("127.0.0.1:%d", i+1),
 		LinkMbps: float64(100 - i),
@@ -37,75 +37,76 @@
 	p.silent = false
 }
 
-// Few instances tell each other all; of many, all but the first two tell each other rarely
-// and count as heard for as much longer.
+// In a small data centre all instances send each other statuses at the full rate. In a large one, only
+// statuses to and from the two aggregators go at that rate; other peers get them rarely, and their
+// silence timeout is correspondingly longer.
 func TestOnlyLargeDataCentresAreSparse(t *testing.T) {
 	t.Parallel()
-	small, _ := crowd(maxFullMeshInstances-1, 10)
+	small, _ := newNodeWithPeers(maxFullMeshInstances-1, 10)
 	for id, p := range small.peers {
 		if small.statusInterval(p) != 0 || small.silenceTimeout(p) != SilentAfter {
-			t.Fatalf("%s of %d is told after %v", id, maxFullMeshInstances, small.statusInterval(p))
+			t.Fatalf("%s of %d has a status interval of %v", id, maxFullMeshInstances, small.statusInterval(p))
 		}
 	}
-	if _, tells := small.aggregatedDigest(); tells {
-		t.Error("sums are told in a small data centre")
+	if _, aggregating := small.aggregatedDigest(); aggregating {
+		t.Error("an instance of a small data centre sends an aggregated digest")
 	}
-	large, _ := crowd(47, 10)
+	large, _ := newNodeWithPeers(47, 10)
 	for id, p := range large.peers {
-		pause := large.statusInterval(p)
-		if first := id == "o00" || id == "o01"; first != (pause == 0) {
-			t.Errorf("%s is told after %v", id, pause)
+		interval := large.statusInterval(p)
+		if aggregator := id == "o00" || id == "o01"; aggregator != (interval == 0) {
+			t.Errorf("%s has a status interval of %v", id, interval)
 		}
-		if pause > 0 && large.silenceTimeout(p) < 2*pause {
-			t.Errorf("%s counts as silent after %v, and is told after %v", id, large.silenceTimeout(p), pause)
+		if interval > 0 && large.silenceTimeout(p) < 2*interval {
+			t.Errorf("%s has a silence timeout of %v and a status interval of %v", id, large.silenceTimeout(p), interval)
 		}
 	}
-	wide, _ := crowd(47, 200)
-	if digest, tells := wide.aggregatedDigest(); !tells || digest.DataCentre != "dc" || digest.Instances != 48 {
-		t.Errorf("the instance with the widest link tells %+v, %v", digest, tells)
+	wide, _ := newNodeWithPeers(47, 200)
+	if digest, aggregating := wide.aggregatedDigest(); !aggregating || digest.DataCentre != "dc" || digest.Instances != 48 {
+		t.Errorf("aggregated digest of the instance with the widest link: %+v, %v", digest, aggregating)
 	}
 }
 
-// When one that tells the sums falls silent, the next takes its place.
+// When the aggregators fall silent, the next instances in order take their place.
 func TestAggregatorsAreReplaced(t *testing.T) {
 	t.Parallel()
-	n, clock := crowd(47, 10)
+	n, clock := newNodeWithPeers(47, 10)
 	clock.Advance(SilentAfter + time.Millisecond)
 	for i := 2; i < 47; i++ {
-		n.hearOne(i, 2)
+		n.receiveFromPeer(i, 2)
 	}
 	n.expirePeers(clock.Now())
 	n.electAggregators(clock.Now())
 	if !n.isAggregator("o02") || !n.isAggregator("o03") {
-		t.Errorf("sums are told by %v", n.aggregators)
+		t.Errorf("aggregators: %v", n.aggregators)
 	}
 }
 
-// While the store fails the first instances of a data centre, those go on trying and the
-// others do so rarely.
-func TestOnlyTheFirstTryALostStore(t *testing.T) {
+// While reads of the store fail for the first instances of a data centre, those keep retrying at the
+// full rate and the others retry rarely.
+func TestOnlyFirstInstancesKeepRetryingStore(t *testing.T) {
 	t.Parallel()
-	lose := func(n *Node, ids ...shelfshelf.InstanceID) {
+	markSourceLost := func(n *Node, ids ...shelfshelf.InstanceID) {
 		for _, id := range ids {
 			n.peers[id].sourceLost = true
 		}
 	}
-	last, clock := crowd(47, 10)
-	lose(last, "o00", "o01")
+	last, clock := newNodeWithPeers(47, 10)
+	markSourceLost(last, "o00", "o01")
 	if got := last.Pace(); got != 0 {
-		t.Errorf("two are lost: %v", got)
+		t.Errorf("with 2 failing instances: %v", got)
 	}
-	lose(last, "o02")
+	markSourceLost(last, "o02")
 	if got := last.Pace(); got != 48*storeRetryIntervalPerInstance {
-		t.Errorf("three are lost: %v", got)
+		t.Errorf("with 3 failing instances: %v", got)
 	}
 	clock.Advance(time.Minute)
 	if got := last.Pace(); got != 0 {
-		t.Errorf("those that were lost are not heard any more: %v", got)
+		t.Errorf("after the failing instances fell silent: %v", got)
 	}
-	third, _ := crowd(47, 98.5)
-	lose(third, "o00", "o01", "o02", "o03", "o04")
+	third, _ := newNodeWithPeers(47, 98.5)
+	markSourceLost(third, "o00", "o01", "o02", "o03", "o04")
 	if got := third.Pace(); got != 0 {
-		t.Errorf("one of the first three waits %v", got)
+		t.Errorf("one of the first three has a retry interval of %v", got)
 	}
 }
--- a/gossip/directory_test.go
+++ b/gossip/directory_test.go
@@ -16,21 +16,21 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-// counted is a directory that counts its calls and may be down.
-type counted struct {
-	mu       sync.Mutex
-	all      []shelfshelf.Instance
-	down     bool
-	reads    int
-	announce int
+// countingDirectory is an instance directory that counts its calls and can be down.
+type countingDirectory struct {
+	mu            sync.Mutex
+	all           []shelfshelf.Instance
+	down          bool
+	reads         int
+	announcements int
 }
 
 var errDirectoryDown = errors.New("down")
 
-func (d *counted) Announce(_ context.Context, _ string, instance shelfshelf.Instance) error {
+func (d *countingDirectory) Announce(_ context.Context, _ string, instance shelfshelf.Instance) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.announce++
+	d.announcements++
 	if d.down {
 		return errDirectoryDown
 	}
@@ -38,7 +38,7 @@
 	return nil
 }
 
-func (d *counted) InstancesIn(context.Context, string) ([]shelfshelf.Instance, error) {
+func (d *countingDirectory) InstancesIn(context.Context, string) ([]shelfshelf.Instance, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.reads++
@@ -48,63 +48,64 @@
 	return append([]shelfshelf.Instance(nil), d.all...), nil
 }
 
-// An instance that is listed as it is costs the platform one call, one that isn't three,
-// and one that can't reach the directory tries ever more rarely.
-func TestDirectoryCostsFewCalls(t *testing.T) {
+// An instance that is listed correctly costs the platform one call, one that isn't costs three, and one
+// that can't reach the directory retries with a growing delay.
+func TestDirectoryCallsAreBounded(t *testing.T) {
 	t.Parallel()
 	self := shelfshelf.Instance{ID: "a", DataCentre: "dc", Address: "10.0.0.1:1", State: shelfshelf.InstanceLive, LinkMbps: 20}
 	moved := self
 	moved.Address = "10.0.0.2:1"
 	for name, c := range map[string]struct {
-		listed   []shelfshelf.Instance
-		first    bool
-		down     bool
-		reads    int
-		announce int
+		listed        []shelfshelf.Instance
+		firstStart    bool
+		down          bool
+		reads         int
+		announcements int
 	}{
 		"listed":           {listed: []shelfshelf.Instance{self}, reads: 1},
-		"not listed":       {reads: 2, announce: 1},
-		"listed elsewhere": {listed: []shelfshelf.Instance{moved}, reads: 2, announce: 1},
-		"first start":      {first: true, reads: 1, announce: 1},
-		// After 0, 0.3, 0.9, 2.1, 4.5, 6.9, 9.3 and 11.7 s, each pause 0.15 shorter at least.
+		"not listed":       {reads: 2, announcements: 1},
+		"listed elsewhere": {listed: []shelfshelf.Instance{moved}, reads: 2, announcements: 1},
+		"first start":      {firstStart: true, reads: 1, announcements: 1},
+		// Reads after 0, 0.3, 0.9, 2.1, 4.5, 6.9, 9.3 and 11.7 s; jitter shortens each delay by up to
+		// 15 %.
 		"down": {down: true, reads: 9},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := &counted{all: c.listed, down: c.down}
-				n := &Node{Clock: clockwork.NewRealClock(), Log: log.New(io.Discard), Self: self, Directory: d, FirstStart: c.first}
+				d := &countingDirectory{all: c.listed, down: c.down}
+				n := &Node{Clock: clockwork.NewRealClock(), Log: log.New(io.Discard), Self: self, Directory: d, FirstStart: c.firstStart}
 				n.Init()
 				ctx, cancel := context.WithTimeout(t.Context(), 12*time.Second)
 				defer cancel()
 				if err := n.directoryLoop(ctx); err != nil {
 					t.Error(err)
 				}
-				if d.reads > c.reads || d.announce != c.announce || d.reads == 0 {
-					t.Errorf("%d reads, %d announcements; at most %d and %d", d.reads, d.announce, c.reads, c.announce)
+				if d.reads > c.reads || d.announcements != c.announcements || d.reads == 0 {
+					t.Errorf("%d reads and %d announcements; want at most %d and exactly %d", d.reads, d.announcements, c.reads, c.announcements)
 				}
 			})
 		})
 	}
 }
 
-// Two sides of a cut that lasted longer than instances count as there still meet again
-// without the directory, and count as lost meanwhile.
-func TestForgottenInstancesMeetAgain(t *testing.T) {
+// Two instances separated by a network partition for longer than dormantAfter keep sending to each
+// other and reconnect without the directory; meanwhile they don't count each other as existing.
+func TestDormantInstancesReconnect(t *testing.T) {
 	t.Parallel()
 	clock := clockwork.NewFakeClock()
 	n := &Node{Clock: clock, Log: log.New(io.Discard), Self: shelfshelf.Instance{ID: "m", DataCentre: "dc"}}
 	n.Init()
 	other := shelfshelf.Instance{ID: "o", DataCentre: "dc", Address: "127.0.0.1:1"}
-	hear := func(sequence uint64) {
+	receive := func(sequence uint64) {
 		p := n.ensurePeer(other, clock.Now())
 		p.accept(message{status: shelfshelf.Status{From: other, Incarnation: 1, Sequence: sequence}}, clock.Now())
 		p.seen = true
 	}
-	hear(1)
+	receive(1)
 	for _, c := range []struct {
-		after time.Duration
-		known int
-		pause time.Duration
+		after    time.Duration
+		known    int
+		interval time.Duration
 	}{
 		{500 * time.Millisecond, 2, 0},
 		{2 * time.Second, 2, silentPeerInterval},
@@ -113,31 +114,31 @@
 		clock.Advance(c.after)
 		n.expirePeers(clock.Now())
 		p := n.peers["o"]
-		if p == nil || n.statusInterval(p) != c.pause || n.Census().Known != c.known {
+		if p == nil || n.statusInterval(p) != c.interval || n.Census().Known != c.known {
 			t.Fatalf("after another %v: %+v, %+v", c.after, p, n.Census())
 		}
 	}
-	hear(2)
+	receive(2)
 	if p := n.peers["o"]; p.dormant || n.Census().Known != 2 {
-		t.Errorf("heard again: %+v, %+v", p, n.Census())
+		t.Errorf("after a new status: %+v, %+v", p, n.Census())
 	}
 	clock.Advance(dormantAfter + dormantRetention + time.Second)
 	n.expirePeers(clock.Now())
 	if len(n.peers) > 0 {
-		t.Error("one that is gone is remembered for good")
+		t.Error("a peer is still kept after dormantRetention")
 	}
 }
 
-// Who goes before whom at the start is known from the directory alone.
-func TestStartedCountsWhoGoesBefore(t *testing.T) {
+// At the start, the directory alone determines which instances come before this one.
+func TestStartedCountsPrecedingInstances(t *testing.T) {
 	t.Parallel()
 	clock := clockwork.NewFakeClock()
 	n := &Node{Clock: clock, Log: log.New(io.Discard), Self: shelfshelf.Instance{ID: "m", DataCentre: "dc", LinkMbps: 20}}
 	n.Init()
 	if s := n.Started(); s.Listed >= 0 {
-		t.Errorf("listed before: %+v", s)
+		t.Errorf("listed before the directory was read: %+v", s)
 	}
-	d := &counted{}
+	d := &countingDirectory{}
 	for i, c := range []struct {
 		id   string
 		dc   shelfshelf.DataCentre
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -19,7 +19,7 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-func TestMessagesComeBackWhole(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		loads := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) shelfshelf.TargetLoad {
 			return shelfshelf.TargetLoad{
@@ -100,13 +100,13 @@
 	f.Add(content)
 	f.Fuzz(func(t *testing.T, content []byte) {
 		if m, err := decode(content); err == nil && m.status.From.ID == "" {
-			t.Error("a message of nobody was taken")
+			t.Error("decode accepted a message without a sender ID")
 		}
 	})
 }
 
-// member is an instance of a test with what it has heard.
-type member struct {
+// testInstance runs a Node and records what it receives.
+type testInstance struct {
 	node *Node
 	id   shelfshelf.InstanceID
 
@@ -115,17 +115,17 @@
 	digests map[shelfshelf.DataCentre]int
 }
 
-func (m *member) Status() shelfshelf.Status {
+func (m *testInstance) Status() shelfshelf.Status {
 	return shelfshelf.Status{Revision: 1, Loads: []shelfshelf.TargetLoad{{Target: 1, Requests: 1}}}
 }
 
-func (m *member) Observations() []shelfshelf.TargetSpeed { return nil }
+func (m *testInstance) Observations() []shelfshelf.TargetSpeed { return nil }
 
-func (m *member) Crashes(bool) []shelfshelf.Crash { return nil }
+func (m *testInstance) Crashes(bool) []shelfshelf.Crash { return nil }
 
-func (m *member) Digest() shelfshelf.Digest { return shelfshelf.Digest{} }
+func (m *testInstance) Digest() shelfshelf.Digest { return shelfshelf.Digest{} }
 
-func (m *member) Heard(status shelfshelf.Status, at time.Time) {
+func (m *testInstance) Heard(status shelfshelf.Status, at time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !at.IsZero() {
@@ -133,38 +133,38 @@
 	}
 }
 
-func (m *member) HeardDigest(digest shelfshelf.Digest) {
+func (m *testInstance) HeardDigest(digest shelfshelf.Digest) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.digests[digest.DataCentre]++
 }
 
-// directory is where the members of a test announce themselves.
-type directory struct {
+// fakeDirectory is an in-memory instance directory.
+type fakeDirectory struct {
 	mu  sync.Mutex
 	all []shelfshelf.Instance
 }
 
-func (d *directory) Announce(_ context.Context, _ string, instance shelfshelf.Instance) error {
+func (d *fakeDirectory) Announce(_ context.Context, _ string, instance shelfshelf.Instance) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.all = append(d.all, instance)
 	return nil
 }
 
-func (d *directory) InstancesIn(context.Context, string) ([]shelfshelf.Instance, error) {
+func (d *fakeDirectory) InstancesIn(context.Context, string) ([]shelfshelf.Instance, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return append([]shelfshelf.Instance(nil), d.all...), nil
 }
 
-func start(t *testing.T, d *directory, id string, centre shelfshelf.DataCentre) (m *member, stop func()) {
+func startInstance(t *testing.T, d *fakeDirectory, id string, centre shelfshelf.DataCentre) (m *testInstance, stop func()) {
 	t.Helper()
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	m = &member{
+	m = &testInstance{
 		id: shelfshelf.InstanceID(id), heard: make(map[shelfshelf.InstanceID]time.Time),
 		digests: make(map[shelfshelf.DataCentre]int),
 	}
@@ -175,14 +175,14 @@
 	}
 	m.node.Init()
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(stopped)
 		_ = m.node.Run(ctx)
 	}()
 	stop = func() {
 		cancel()
-		<-ended
+		<-stopped
 	}
 	t.Cleanup(stop)
 	return m, stop
@@ -198,47 +198,47 @@
 	t.Fatal(what)
 }
 
-// Three data centres of two: all are counted, digests reach everyone, one instance a
-// data centre comes first, and an end is noticed.
-func TestInstancesHearEachOther(t *testing.T) {
-	d := &directory{}
-	var all []*member
+// Runs three data centres of two instances each. Every instance counts all six and receives the digests
+// of both other data centres, one instance of each data centre comes first, and the stop of an instance
+// is noticed.
+func TestInstancesExchangeStatusesAndDigests(t *testing.T) {
+	d := &fakeDirectory{}
+	var all []*testInstance
 	var stops []func()
 	for _, centre := range []shelfshelf.DataCentre{"a", "b", "c"} {
 		for i := range 2 {
-			m, stop := start(t, d, fmt.Sprint(centre, i), centre)
+			m, stop := startInstance(t, d, fmt.Sprint(centre, i), centre)
 			all, stops = append(all, m), append(stops, stop)
 		}
 	}
 	for _, m := range all {
-		eventually(t, "not all are heard", func() bool {
+		eventually(t, "not all instances are counted as live", func() bool {
 			census := m.node.Census()
 			return census.Known == 6 && census.Heard == 6 && census.Local == 2
 		})
-		eventually(t, "digests don't reach everyone", func() bool {
+		eventually(t, "the digests of the other data centres have not arrived", func() bool {
 			m.mu.Lock()
 			defer m.mu.Unlock()
 			return len(m.digests) == 2
 		})
 		if want := m.id[1] == '0'; m.node.First() != want {
-			t.Errorf("%s first: %v", m.id, !want)
+			t.Errorf("%s comes first: %v", m.id, !want)
 		}
 		if want := m.id[0] != 'c'; m.node.LeadingCentre(2) != want {
-			t.Errorf("%s leading: %v", m.id, !want)
+			t.Errorf("%s is in a leading data centre: %v", m.id, !want)
 		}
 	}
 	stops[0]()
-	eventually(t, "the next one doesn't come first", all[1].node.First)
-	eventually(t, "an end isn't noticed", func() bool { return all[1].node.Census().Local == 1 })
+	eventually(t, "the remaining instance does not come first", all[1].node.First)
+	eventually(t, "the stop of an instance is not noticed", func() bool { return all[1].node.Census().Local == 1 })
 }
 
-// What is heard carries an instant of the hearer's own clock that it is no older
-// than, and that is recent.
-func TestEchoesDateWhatIsHeard(t *testing.T) {
-	d := &directory{}
-	a, _ := start(t, d, "a0", "a")
-	_, _ = start(t, d, "a1", "a")
-	eventually(t, "no dated word is heard", func() bool {
+// A received status comes with a recent instant on the receiver's own clock that it is no older than.
+func TestEchoedTimestampsDateStatuses(t *testing.T) {
+	d := &fakeDirectory{}
+	a, _ := startInstance(t, d, "a0", "a")
+	_, _ = startInstance(t, d, "a1", "a")
+	eventually(t, "no status with a recent time bound was received", func() bool {
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		at := a.heard["a1"]
@@ -246,12 +246,12 @@
 	})
 }
 
-// An older message, or one of an earlier life, changes nothing.
+// An older message, or one of an earlier incarnation, is rejected.
 func TestOldMessagesAreDropped(t *testing.T) {
 	n := &Node{Clock: clockwork.NewRealClock(), Log: log.New(io.Discard), peers: make(map[shelfshelf.InstanceID]*peerState)}
 	now := time.Now()
 	p := n.ensurePeer(shelfshelf.Instance{ID: "a", Address: "127.0.0.1:1"}, now)
-	word := func(incarnation, sequence uint64) bool {
+	acceptMessage := func(incarnation, sequence uint64) bool {
 		return p.accept(message{status: shelfshelf.Status{
 			From: shelfshelf.Instance{ID: "a", Address: "127.0.0.1:1"}, Incarnation: incarnation, Sequence: sequence,
 		}}, now)
@@ -260,15 +260,16 @@
 		incarnation, sequence uint64
 		want                  bool
 	}{{1, 5, true}, {1, 5, false}, {1, 4, false}, {2, 1, true}, {1, 9, false}, {2, 2, true}} {
-		if got := word(c.incarnation, c.sequence); got != c.want {
-			t.Errorf("life %d, message %d: %v", c.incarnation, c.sequence, got)
+		if got := acceptMessage(c.incarnation, c.sequence); got != c.want {
+			t.Errorf("incarnation %d, sequence %d: accepted %v", c.incarnation, c.sequence, got)
 		}
 	}
 }
 
-// With 600 targets, 520 customers and six data centres, the digests of all others make up
-// 100 KB: a status carries those that have room and keeps the others for the next one.
-func TestMessagesHaveRoomInDatagrams(t *testing.T) {
+// With 600 targets, 520 customers and six data centres, the digests of all other data centres make up
+// 100 KB, more than a datagram holds. A status carries those that fit and leaves the rest for the next
+// one.
+func TestStatusesFitInDatagrams(t *testing.T) {
 	const targets, customers, centres = 600, 520, 5
 	n := &Node{Clock: clockwork.NewRealClock(), Log: log.New(io.Discard), dataCentres: make(map[shelfshelf.DataCentre]*dataCentreState)}
 	var digest shelfshelf.Digest
@@ -285,40 +286,40 @@
 	}
 	now := time.Now()
 	for i := range centres {
-		n.takeDigestOf(shelfshelf.DataCentre(fmt.Sprint("data centre ", i)), digest, now)
+		n.storeDigestOf(shelfshelf.DataCentre(fmt.Sprint("data centre ", i)), digest, now)
 	}
 	status := shelfshelf.Status{Loads: digest.Loads, Uses: digest.Uses}
-	told := make(map[shelfshelf.DataCentre]int)
+	forwarded := make(map[shelfshelf.DataCentre]int)
 	for range centres {
 		status.Digests = n.takePendingDigests(now, maxDatagramBytes-maxStatusSize(status))
 		for _, d := range status.Digests {
-			told[d.DataCentre]++
+			forwarded[d.DataCentre]++
 		}
 		content, err := encode(message{kind: kindStatus, status: status})
 		if err != nil || len(content) > maxDatagramBytes {
-			t.Errorf("a status has %d bytes: %v", len(content), err)
+			t.Errorf("a status has %d bytes, error %v", len(content), err)
 		}
 		if got, bound := len(content), maxStatusSize(status)+len(status.Digests)*maxDigestSize(digest); got > bound {
-			t.Errorf("%d bytes are more than the bound of %d", got, bound)
+			t.Errorf("%d bytes exceed the computed bound of %d", got, bound)
 		}
 	}
-	if len(told) != centres {
-		t.Errorf("told: %v", told)
+	if len(forwarded) != centres {
+		t.Errorf("forwarded digests: %v", forwarded)
 	}
-	for centre, times := range told {
+	for centre, times := range forwarded {
 		if times != 1 {
-			t.Errorf("%s told %d times", centre, times)
+			t.Errorf("digest of %s forwarded %d times", centre, times)
 		}
 	}
 }
 
-func (n *Node) takeDigestOf(centre shelfshelf.DataCentre, digest shelfshelf.Digest, now time.Time) {
+func (n *Node) storeDigestOf(centre shelfshelf.DataCentre, digest shelfshelf.Digest, now time.Time) {
 	digest.DataCentre = centre
 	n.storeDigest(digest, now, true)
 }
 
-// The instance with the widest link reads the store for the others, whatever its name;
-// among equals, the first by name.
+// The instance with the widest link reads the store for the others, whatever its ID; among equal links,
+// the first by ID.
 func TestWidestLinkComesFirst(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
