--- a/gossip/aggregate.go
+++ b/gossip/aggregate.go
@@ -202,9 +202,8 @@
 
 func hashInstanceID(id shelfshelf.InstanceID) uint64 { return xxhash.Sum64String(string(id)) }
 
-// HeardShare returns which part of the instances of this data centre are heard, this one
-// included: of those that there have been within the last 30 s and that have not said that they
-// stop.
+// HeardShare returns the share of this data centre's instances that are live. It counts this instance
+// and all others that existed within the last 30 s and have not said that they are leaving.
 func (n *Node) HeardShare() float64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/gossip/directory.go
+++ b/gossip/directory.go
@@ -36,7 +36,7 @@
 		written := err == nil && !announced && !listed && (n.announce(ctx) || n.retryAnnounce(ctx))
 		announced = announced || listed || written
 		if written {
-			// Instances that announced themselves meanwhile did not see this one in the directory.
+			// Reads again: instances that announced themselves meanwhile did not see this one listed.
 			continue
 		}
 		if err == nil {
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -56,7 +56,8 @@
 	// centre, the sender's own load. The status is no older than at, an instant on this instance's
 	// clock; at is zero if its age is unknown.
 	Heard(status shelfshelf.Status, at time.Time)
-	// HeardDigest processes the digest of another data centre.
+	// HeardDigest processes the digest of another data centre or, at a non-aggregator of a large data
+	// centre, of this one.
 	HeardDigest(digest shelfshelf.Digest)
 }
 
@@ -258,7 +259,8 @@
 	status := n.Handler.Status()
 	status.Speeds = n.Handler.Observations()
 	ownDigest, aggregating := n.aggregatedDigest()
-	// Aggregators of a large data centre receive crash reports that other instances don't.
+	// Aggregators of a large data centre receive crash reports that other instances don't, and pass
+	// them on.
 	status.Crashes = n.Handler.Crashes(aggregating)
 	now := n.Clock.Now()
 	n.mu.Lock()
--- a/gossip/peers.go
+++ b/gossip/peers.go
@@ -12,7 +12,8 @@
 	// suspectAfter is the number of consecutive exchanges that an instance of another data centre may
 	// leave unanswered before it is a suspect and others are preferred.
 	suspectAfter = 2
-	// suspectProbeOneIn: one in so many exchanges may go to a suspect all the same.
+	// suspectProbeOneIn is the odds (one exchange in so many) of ignoring suspicion and picking among
+	// all instances of a data centre.
 	suspectProbeOneIn = 8
 )
 
