--- /dev/null
+++ b/gossip/remote_instances.go
@@ -0,0 +1,127 @@
+package gossip
+
+import (
+	"context"
+	"slices"
+	"time"
+
+	"github.com/rotisserie/eris"
+
+	"github.com/shelfshelf/shelfshelf"
+)
+
+const (
+	// remoteReadStagger is the delay between instances of a data centre, in their order, before each
+	// reads the other data centres' partitions of the directory, unless another instance has told it
+	// their content.
+	remoteReadStagger = 100 * time.Millisecond
+	// remoteDiscoveryDelay is how long after a first start of the deployment the instances of other
+	// data centres are looked up; most have announced themselves by then.
+	remoteDiscoveryDelay = maxAnnounceDelay + 300*time.Millisecond
+)
+
+// directoryPartition returns the partition of the directory that holds a data centre's instances. The
+// platform writes the rows of a partition one after the other, so a large fleet needs several.
+func (n *Node) directoryPartition(centre shelfshelf.DataCentre) string {
+	if !slices.Contains(n.Centres, n.Self.DataCentre) {
+		return ""
+	}
+	return string(centre)
+}
+
+// discoverRemotes learns of the instances of the other data centres: from another instance of this one
+// or, if this instance's delay runs out first, from the directory.
+func (n *Node) discoverRemotes(ctx context.Context) error {
+	if n.directoryPartition(n.Self.DataCentre) == "" {
+		n.setRemotesKnown()
+		return nil
+	}
+	if n.FirstStart {
+		n.sleep(ctx, remoteDiscoveryDelay-n.Clock.Now().Sub(n.startedAt))
+	}
+	for began := n.Clock.Now(); ctx.Err() == nil; n.sleep(ctx, remoteReadStagger) {
+		delay := time.Duration(n.Started().Before) * remoteReadStagger
+		if delay > 0 && n.fetchRemotes(ctx) {
+			return nil
+		}
+		if n.Clock.Now().Sub(began) >= delay {
+			return n.readRemoteDirectories(ctx)
+		}
+	}
+	return nil
+}
+
+// readRemoteDirectories reads the other data centres' partitions of the directory.
+func (n *Node) readRemoteDirectories(ctx context.Context) error {
+	for _, centre := range n.Centres {
+		if centre == n.Self.DataCentre {
+			continue
+		}
+		if _, err := n.readDirectory(ctx, centre); err != nil {
+			return eris.Wrap(err, "read the instances of the other data centres")
+		}
+	}
+	n.setRemotesKnown()
+	return nil
+}
+
+// fetchRemotes asks the first live instance of this data centre for all instances that it knows, and
+// reports whether it answered.
+func (n *Node) fetchRemotes(ctx context.Context) bool {
+	address, found := n.firstLiveLocal()
+	if n.Fetch == nil || !found {
+		return false
+	}
+	instances, err := n.Fetch(ctx, address)
+	if err != nil {
+		return false
+	}
+	n.addPeers(instances)
+	n.setRemotesKnown()
+	return true
+}
+
+// firstLiveLocal returns the address of the first live peer in this data centre (see compareInstances);
+// false if there is none.
+func (n *Node) firstLiveLocal() (address string, found bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	now := n.Clock.Now()
+	var first shelfshelf.Instance
+	for _, p := range n.peers {
+		if n.isLocal(p.instance) && n.isLive(p, now) && (!found || compareInstances(p.instance, first) < 0) {
+			first, found = p.instance, true
+		}
+	}
+	return first.Address, found
+}
+
+// addPeers adds instances that the directory or another instance has listed.
+func (n *Node) addPeers(instances []shelfshelf.Instance) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	now := n.Clock.Now()
+	for _, instance := range instances {
+		if instance.ID != n.Self.ID {
+			n.ensurePeer(instance, now)
+		}
+	}
+}
+
+func (n *Node) setRemotesKnown() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.remotesKnown = true
+}
+
+// Instances returns all known instances, including this one. It returns false while those of the other
+// data centres are not yet known.
+func (n *Node) Instances() ([]shelfshelf.Instance, bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	instances := []shelfshelf.Instance{n.Self}
+	for _, p := range n.peers {
+		instances = append(instances, p.instance)
+	}
+	return instances, n.remotesKnown
+}
