--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -14,143 +14,146 @@
 )
 
 const (
-	// defaultConfirmPeriod is how long one read waits for changes of the configuration
-	// where the user doesn't say.
-	defaultConfirmPeriod = time.Second
-	// targetsPeriod is the same for targets, which no lease hangs on. A source that
-	// falls silent to one reader in the middle of a read still tells another.
-	targetsPeriod = 3 * time.Second
-	// targetsSlack is how much older knowledge of targets gets for that.
-	targetsSlack = 2 * (targetsPeriod - defaultConfirmPeriod)
-	// followPause is how often a read that stands in for silent readers looks whether it
-	// is still needed, and beginPause how often an instance that knows nothing, and can
-	// serve nobody, looks whether it has to read.
-	followPause = 50 * time.Millisecond
-	beginPause  = 10 * time.Millisecond
-	// leadPause is how often an instance that doesn't read looks whether it has to lead: one
-	// that has taken over reads that much later.
-	leadPause = 250 * time.Millisecond
-	// firstPause and lastPause bound the pause between reads that fail.
-	firstPause = 40 * time.Millisecond
-	lastPause  = 400 * time.Millisecond
-	// returnGrace is how long after the source is back a target that vanished
-	// meanwhile is still used: it may only have been unable to renew its entry.
-	returnGrace = 2 * time.Second
+	// defaultPollTimeout is how long one read waits for changes of the configuration if
+	// ConfirmPeriod is not set.
+	defaultPollTimeout = time.Second
+	// targetsPollTimeout is how long one read waits for changes of the targets. It may be longer
+	// because no lease depends on the age of the targets. If the source stops answering one reader
+	// in the middle of a read, other readers still get its changes.
+	targetsPollTimeout = 3 * time.Second
+	// targetsAgeSlack is added to the maximum age of the targets because of the longer
+	// targetsPollTimeout.
+	targetsAgeSlack = 2 * (targetsPollTimeout - defaultPollTimeout)
+	// readCheckInterval is how often a fallback read, which replaces the data of silent readers,
+	// checks whether it is still needed. startCheckInterval is how often an instance that has no
+	// data yet, and so can't serve requests, checks whether it has to read.
+	readCheckInterval  = 50 * time.Millisecond
+	startCheckInterval = 10 * time.Millisecond
+	// takeoverCheckInterval is the longest time between the checks of a non-reading instance whether
+	// it has become a reader. A takeover is delayed by up to this long.
+	takeoverCheckInterval = 250 * time.Millisecond
+	// retryDelayBase and retryDelayMax set the exponential delay between failed reads, before jitter.
+	// The first delay is twice the base.
+	retryDelayBase = 40 * time.Millisecond
+	retryDelayMax  = 400 * time.Millisecond
+	// missingTargetGrace is how long a target that is missing from the list after an outage of the
+	// source is still used: it may only have been unable to renew its entry.
+	missingTargetGrace = 2 * time.Second
 )
 
-// FromSource stands for the source where it is told who told something.
+// FromSource is given as the sender of data that was read from the source itself.
 const FromSource = "source"
 
-// errNotNeeded ends a read of what has come from another instance.
-var errNotNeeded = errors.New("another instance has told it")
+// errReadNotNeeded cancels a read whose data has already come from another instance.
+var errReadNotNeeded = errors.New("another instance has already sent the data")
 
-// Catalog keeps the configuration and the targets. Fields are set before Run. It
-// is safe for concurrent use.
+// Catalog holds the current configuration and targets. Its exported fields must be set before Run is
+// called. It is safe for concurrent use.
 type Catalog struct {
 	Clock  shelfshelf.Clock
 	Log    *log.Logger
 	Source shelfshelf.CatalogSource
-	// Follow returns the age of knowledge at which this instance reads the source
-	// itself: 0 for one that always does, while the others hear of changes from it.
-	// Nil means always.
+	// Follow returns the age of the data at which this instance reads the source itself. 0 means that
+	// it always reads; the other instances get changes from it. Nil means 0.
 	Follow func() time.Duration
-	// Begin reports that this instance, while it knows nothing yet, is to read the source
-	// itself instead of hearing from another one. Nil means always.
+	// Begin reports whether this instance, while it has no data yet, reads the source instead of
+	// waiting for data from another instance. Nil means that it always does.
 	Begin func() bool
-	// Pace returns the mean time between two reads of this instance while the source fails
-	// others that read before it; 0 while it doesn't. Nil means never.
+	// Pace returns the mean time between two reads of this instance while the reads of other instances
+	// that come before it fail; 0 while they don't fail. Nil means 0.
 	Pace func() time.Duration
-	// ConfirmPeriod returns how long one read waits for changes of the configuration:
-	// knowledge is confirmed that often, so that its age stays below twice of it. Nil
-	// means a second.
+	// ConfirmPeriod returns how long one read waits for changes of the configuration. The data is
+	// confirmed that often, so that its age stays below twice this period. Nil means one second.
 	ConfirmPeriod func() time.Duration
-	// Changed is called, outside locks, after the configuration or the targets have
-	// changed, with the address of the instance that told, or FromSource; may be nil.
+	// Changed is called, without locks held, after the configuration or the targets have changed, with
+	// the address of the instance that sent them, or FromSource. May be nil.
 	Changed func(from string)
-	// Returned is called, outside locks, when the source is found to have come back from an
-	// older copy; may be nil.
+	// Returned is called, without locks held, when the source is found to have been restored from an
+	// older copy. May be nil.
 	Returned func()
-	// Ordered is called with the orders to move pools that a read of the source has brought;
-	// there was no other when the source stood at asOf. May be nil.
+	// Ordered is called with the rollouts that a read of the source returned. The source had no others
+	// at version asOf. May be nil.
 	Ordered func(orders []shelfshelf.Rollout, asOf uint64)
-	// Evacuations is called with what a read of the source has brought of them; may be nil.
+	// Evacuations is called with the evacuation update that a read of the source returned. May be nil.
 	Evacuations func(update shelfshelf.EvacuationUpdate)
 
 	mu      sync.Mutex
 	index   *Index
 	targets map[shelfshelf.TargetName]shelfshelf.Target
-	// vanished holds targets that the source lost during an outage, and until when
-	// they are kept.
-	vanished map[shelfshelf.TargetName]time.Time
-	// unreadable are the entries that name no target, with the reason.
+	// retainedUntil holds the targets that are missing from the source's list but still used, with the
+	// time until which they are.
+	retainedUntil map[shelfshelf.TargetName]time.Time
+	// unreadable holds the entries of the list that don't decode to a usable target, with the reason.
 	unreadable map[shelfshelf.TargetName]string
-	// vanishes tells the loop that drops them of new ones.
-	vanishes chan struct{}
-	// configurationAt and targetsAt are up to when the knowledge is known to hold.
-	configurationAt time.Time
-	targetsAt       time.Time
-	targetsVersion  uint64
-	// changes are those of the list that are remembered, the earliest first.
+	// expiryWake wakes runExpiry when there is a new retained target or suspect.
+	expiryWake chan struct{}
+	// configurationValidAt and targetsValidAt are the latest times at which the data is known to have
+	// been current.
+	configurationValidAt time.Time
+	targetsValidAt       time.Time
+	targetsVersion       uint64
+	// changes are the recent changes of the target list, oldest first.
 	changes []listChange
-	// newest is the newest revision that this instance has heard of.
-	newest shelfshelf.Revision
-	// returnedAt is when the source was found to have come back from an older copy, doubted the
-	// targets that it may wrongly have as ready since, and left those that left lately.
-	returnedAt time.Time
-	doubted    map[shelfshelf.TargetName]shelfshelf.Target
-	left       map[shelfshelf.TargetName]departure
-	// outageEnded is when the source last came back from an outage.
+	// newestRevision is the highest configuration revision that any instance has reported.
+	newestRevision shelfshelf.Revision
+	// restoredAt is when the source was found to have been restored from an older copy, suspects are
+	// the targets that it may since wrongly list as ready, and departures are the targets that were
+	// removed recently.
+	restoredAt time.Time
+	suspects   map[shelfshelf.TargetName]shelfshelf.Target
+	departures map[shelfshelf.TargetName]departure
+	// outageEnded is when the last outage of the source ended.
 	outageEnded time.Time
 	sourceLost  bool
 }
 
-// Index returns the configuration in force, or nil, and up to when it is known
-// to hold.
+// Index returns the current configuration, or nil, and the latest time at which it is known to have
+// been current.
 func (c *Catalog) Index() (*Index, time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.index, c.configurationAt
+	return c.index, c.configurationValidAt
 }
 
-// Run follows the source until the context ends.
+// Run keeps the catalog up to date until the context ends.
 func (c *Catalog) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var group run.Group
-	group.Add(func() error { return c.loopConfiguration(ctx) }, func(error) { cancel() })
-	group.Add(func() error { return c.loopTargets(ctx) }, func(error) { cancel() })
-	group.Add(func() error { return c.loopExpiry(ctx) }, func(error) { cancel() })
+	group.Add(func() error { return c.pollConfiguration(ctx) }, func(error) { cancel() })
+	group.Add(func() error { return c.pollTargets(ctx) }, func(error) { cancel() })
+	group.Add(func() error { return c.runExpiry(ctx) }, func(error) { cancel() })
 	return group.Run()
 }
 
-func (c *Catalog) loopConfiguration(ctx context.Context) error {
-	follower := &follower{catalog: c, name: "configuration"}
+func (c *Catalog) pollConfiguration(ctx context.Context) error {
+	backoff := &readBackoff{catalog: c, name: "configuration"}
 	var cursor uint64
-	for c.due(ctx, c.configurationKnown, 0) {
-		if cursor > 0 && c.takesOver() {
-			// What is known is old already: it is confirmed at once, before a read that waits.
-			cursor = c.followConfiguration(ctx, follower, cursor, 0)
+	for c.waitUntilDue(ctx, c.configurationFreshness, 0) {
+		if cursor > 0 && c.readsAsFallback() {
+			// The data is old already: confirm it at once, before a read that waits for changes.
+			cursor = c.pollConfigurationOnce(ctx, backoff, cursor, 0)
 		}
-		cursor = c.followConfiguration(ctx, follower, cursor, c.confirmPeriod())
+		cursor = c.pollConfigurationOnce(ctx, backoff, cursor, c.pollTimeout())
 	}
 	return nil
 }
 
-// followConfiguration reads once and returns the cursor of the next read.
-func (c *Catalog) followConfiguration(ctx context.Context, follower *follower, cursor uint64, wait time.Duration) uint64 {
-	began := c.Clock.Now()
+// pollConfigurationOnce reads the source once and returns the cursor of the next read.
+func (c *Catalog) pollConfigurationOnce(ctx context.Context, backoff *readBackoff, cursor uint64, wait time.Duration) uint64 {
+	start := c.Clock.Now()
 	var update shelfshelf.ConfigurationUpdate
-	err := c.whileNeeded(ctx, cursor, c.configurationKnown, 0, func(ctx context.Context) (err error) {
+	err := c.readWhileNeeded(ctx, cursor, c.configurationFreshness, 0, func(ctx context.Context) (err error) {
 		update, err = c.readConfiguration(ctx, cursor, wait)
 		return err
 	})
-	if errors.Is(err, errNotNeeded) {
+	if errors.Is(err, errReadNotNeeded) {
 		return cursor
 	}
-	if !follower.settle(ctx, err) {
+	if !backoff.handleResult(ctx, err) {
 		return 0
 	}
 	for _, entry := range update.UnreadableOrders {
-		c.Log.Warn("An order to move a pool can't be read and is left out.", "entry", entry.Name, "error", entry.Reason)
+		c.Log.Warn("A rollout entry can't be decoded. It is ignored.", "entry", entry.Name, "error", entry.Reason)
 	}
 	if c.Evacuations != nil {
 		c.Evacuations(update.Evacuations)
@@ -158,133 +161,133 @@
 	if c.Ordered != nil {
 		c.Ordered(update.Rollouts, update.Cursor)
 	}
-	c.apply(update.Configuration, began, FromSource)
+	c.applyConfiguration(update.Configuration, start, FromSource)
 	return update.Cursor
 }
 
-// takesOver reports that this instance reads the source only because the others have
-// not been heard of for long.
-func (c *Catalog) takesOver() bool {
+// readsAsFallback reports whether this instance reads the source only because it has got no recent
+// data from other instances.
+func (c *Catalog) readsAsFallback() bool {
 	return c.Follow != nil && c.Follow() > 0
 }
 
-func (c *Catalog) confirmPeriod() time.Duration {
+func (c *Catalog) pollTimeout() time.Duration {
 	if c.ConfirmPeriod == nil {
-		return defaultConfirmPeriod
+		return defaultPollTimeout
 	}
 	return c.ConfirmPeriod()
 }
 
-// due waits until this instance is to read the source: as its follower, or because
-// what it hears from the others is too old. It returns false at the context's end.
-func (c *Catalog) due(ctx context.Context, known func() time.Time, slack time.Duration) bool {
+// waitUntilDue waits until this instance has to read the source, either as a regular reader or because
+// the data from other instances is too old. It returns false when the context ends.
+func (c *Catalog) waitUntilDue(ctx context.Context, freshness func() time.Time, slack time.Duration) bool {
 	for ctx.Err() == nil {
-		if c.needed(known, slack) && c.mayBegin(known) && c.inTurn(ctx, known, slack) {
+		if c.readNeeded(freshness, slack) && c.mayReadAtStart(freshness) && c.waitForTurn(ctx, freshness, slack) {
 			return true
 		}
 		select {
 		case <-ctx.Done():
-		case <-c.Clock.After(c.untilDue(known(), slack)):
+		case <-c.Clock.After(c.nextCheckDelay(freshness(), slack)):
 		}
 	}
 	return false
 }
 
-// untilDue returns how long an instance that doesn't read may sleep. Looking every 50 ms,
-// twice, 295 instances woke 11,800 times a second for nothing.
-func (c *Catalog) untilDue(at time.Time, slack time.Duration) time.Duration {
-	if at.IsZero() {
-		return beginPause
+// nextCheckDelay returns how long a non-reading instance may sleep until its next check. When the
+// configuration and the targets were both checked every 50 ms, 295 instances woke up 11,800 times a
+// second in vain.
+func (c *Catalog) nextCheckDelay(validAt time.Time, slack time.Duration) time.Duration {
+	if validAt.IsZero() {
+		return startCheckInterval
 	}
-	left := c.Follow() + slack - c.Clock.Now().Sub(at)
-	return min(max(left, beginPause), leadPause)
+	remaining := c.Follow() + slack - c.Clock.Now().Sub(validAt)
+	return min(max(remaining, startCheckInterval), takeoverCheckInterval)
 }
 
-// inTurn waits for this instance's turn while the source fails others, and reports that a
-// read is still needed then. With all instances trying three times a second, a store that
-// was down for 8 s had 10,000 calls of 295 instances; the first that gets through tells
-// the others.
-func (c *Catalog) inTurn(ctx context.Context, known func() time.Time, slack time.Duration) bool {
+// waitForTurn waits for a random delay while the source fails other instances, and then reports
+// whether a read is still needed. When all of 295 instances retried three times a second, a store that
+// was down for 8 s got 10,000 calls. The first instance whose read succeeds sends the data to the others.
+func (c *Catalog) waitForTurn(ctx context.Context, freshness func() time.Time, slack time.Duration) bool {
 	if c.Pace == nil {
 		return true
 	}
-	pace := c.Pace()
-	if pace == 0 {
+	interval := c.Pace()
+	if interval == 0 {
 		return true
 	}
 	select {
 	case <-ctx.Done():
 		return false
-	case <-c.Clock.After(time.Duration(2 * rand.Float64() * float64(pace))):
+	case <-c.Clock.After(time.Duration(2 * rand.Float64() * float64(interval))):
 	}
-	return c.needed(known, slack)
+	return c.readNeeded(freshness, slack)
 }
 
-// mayBegin reports that a read may begin: where nothing is known yet, another instance may
-// be about to tell.
-func (c *Catalog) mayBegin(known func() time.Time) bool {
-	return c.Begin == nil || !known().IsZero() || c.Begin()
+// mayReadAtStart reports whether a read may start. While this instance has no data yet, another
+// instance may be about to send it.
+func (c *Catalog) mayReadAtStart(freshness func() time.Time) bool {
+	return c.Begin == nil || !freshness().IsZero() || c.Begin()
 }
 
-// needed reports that this instance is to read the source now.
-func (c *Catalog) needed(known func() time.Time, slack time.Duration) bool {
-	at := known()
-	if c.Follow == nil || at.IsZero() {
+// readNeeded reports whether this instance has to read the source now.
+func (c *Catalog) readNeeded(freshness func() time.Time, slack time.Duration) bool {
+	validAt := freshness()
+	if c.Follow == nil || validAt.IsZero() {
 		return true
 	}
-	limit := c.Follow()
-	return limit == 0 || c.Clock.Now().Sub(at) >= limit+slack
+	maxAge := c.Follow()
+	return maxAge == 0 || c.Clock.Now().Sub(validAt) >= maxAge+slack
 }
 
-// whileNeeded reads, and ends with errNotNeeded as soon as another instance has told what
-// the read is to bring: on a narrow link a read of the whole takes seconds, and all else
-// that goes over it waits meanwhile. Who reads changes for the others is told by nobody.
-func (c *Catalog) whileNeeded(ctx context.Context, cursor uint64, known func() time.Time, slack time.Duration, read func(context.Context) error) error {
-	if cursor > 0 && !c.takesOver() {
+// readWhileNeeded calls read, and cancels it with errReadNotNeeded as soon as another instance has sent
+// the data: on a slow link a full read takes seconds and delays all other traffic on it. The reads of a
+// regular reader are not cancelled once it has a cursor, because no other instance sends it the changes.
+func (c *Catalog) readWhileNeeded(ctx context.Context, cursor uint64, freshness func() time.Time, slack time.Duration, read func(context.Context) error) error {
+	if cursor > 0 && !c.readsAsFallback() {
 		return read(ctx)
 	}
-	bounded, cancel := context.WithCancelCause(ctx)
+	readCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	go c.runWhileNeeded(bounded, cancel, known, slack)
-	err := read(bounded)
-	if err != nil && errors.Is(context.Cause(bounded), errNotNeeded) {
-		return errNotNeeded
+	go c.cancelWhenNotNeeded(readCtx, cancel, freshness, slack)
+	err := read(readCtx)
+	if err != nil && errors.Is(context.Cause(readCtx), errReadNotNeeded) {
+		return errReadNotNeeded
 	}
 	return err
 }
 
-func (c *Catalog) runWhileNeeded(ctx context.Context, cancel context.CancelCauseFunc, known func() time.Time, slack time.Duration) {
-	for c.needed(known, slack) {
+func (c *Catalog) cancelWhenNotNeeded(ctx context.Context, cancel context.CancelCauseFunc, freshness func() time.Time, slack time.Duration) {
+	for c.readNeeded(freshness, slack) {
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.Clock.After(followPause):
+		case <-c.Clock.After(readCheckInterval):
 		}
 	}
-	cancel(errNotNeeded)
+	cancel(errReadNotNeeded)
 }
 
-func (c *Catalog) configurationKnown() time.Time {
-	_, at := c.Index()
-	return at
+func (c *Catalog) configurationFreshness() time.Time {
+	_, validAt := c.Index()
+	return validAt
 }
 
-func (c *Catalog) targetsKnown() time.Time {
-	_, at := c.TargetsKnown()
-	return at
+func (c *Catalog) targetsFreshness() time.Time {
+	_, validAt := c.TargetsKnown()
+	return validAt
 }
 
-// ConfirmTargets takes another instance's word that a list of targets was the
-// newest then.
-func (c *Catalog) ConfirmTargets(version uint64, at time.Time) {
+// ConfirmTargets records that, according to another instance, this version of the target list was the
+// newest at that time.
+func (c *Catalog) ConfirmTargets(version uint64, validAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.targetsVersion == version && at.After(c.targetsAt) {
-		c.targetsAt = at
+	if c.targetsVersion == version && validAt.After(c.targetsValidAt) {
+		c.targetsValidAt = validAt
 	}
 }
 
-// readConfiguration reads the whole without a cursor, else waits for a change.
+// readConfiguration reads the full configuration if there is no cursor; otherwise it waits for a change.
 func (c *Catalog) readConfiguration(ctx context.Context, cursor uint64, wait time.Duration) (shelfshelf.ConfigurationUpdate, error) {
 	if cursor > 0 {
 		return c.Source.AwaitConfiguration(ctx, cursor, wait)
@@ -292,82 +295,84 @@
 	return c.Source.ReadConfiguration(ctx)
 }
 
-// apply puts a newer configuration in force and confirms the one in force; nil
-// means that the source has no other than the one in force.
-func (c *Catalog) apply(configuration *shelfshelf.Configuration, at time.Time, from string) {
+// applyConfiguration makes a newer configuration the current one, or else confirms the current one.
+// A nil configuration means that the source has none newer.
+func (c *Catalog) applyConfiguration(configuration *shelfshelf.Configuration, validAt time.Time, from string) {
 	if configuration == nil || !c.Lacks(configuration.Revision) {
-		c.confirm(configuration, at)
+		c.confirmIfCurrent(configuration, validAt)
 		return
 	}
-	// Every request waits for the lock, and an index of many routes takes milliseconds.
+	// The index is built without the lock: every request waits for the lock, and building an index of
+	// many routes takes milliseconds.
 	index := NewIndex(configuration)
 	c.mu.Lock()
 	if c.index != nil && c.index.Revision >= index.Revision {
-		// Another one has come meanwhile.
+		// Another configuration as new as this one was applied in the meantime.
 		c.mu.Unlock()
-		c.confirm(configuration, at)
+		c.confirmIfCurrent(configuration, validAt)
 		return
 	}
 	c.index = index
-	c.configurationAt = at
+	c.configurationValidAt = validAt
 	c.mu.Unlock()
 	for _, flaw := range configuration.Flaws {
-		c.Log.Error("A field of the configuration can't be read.", "revision", configuration.Revision, "place", flaw.Place, "error", flaw.Reason, "effect", flaw.Effect)
+		c.Log.Error("A configuration field can't be decoded.", "revision", configuration.Revision, "place", flaw.Place, "error", flaw.Reason, "effect", flaw.Effect)
 	}
-	c.Log.Info("A configuration is in force.", "revision", configuration.Revision, "from", from,
-		"age", c.Clock.Now().Sub(at), "bytes", len(configuration.Encoded), "routes", len(configuration.Bundle.Routes), "customers", len(configuration.Bundle.Customers))
+	c.Log.Info("Applied a configuration.", "revision", configuration.Revision, "from", from,
+		"age", c.Clock.Now().Sub(validAt), "bytes", len(configuration.Encoded), "routes", len(configuration.Bundle.Routes), "customers", len(configuration.Bundle.Customers))
 	c.notify(from)
 }
 
-// Lacks reports that a revision is newer than the one in force.
+// Lacks reports whether a revision is newer than the current one.
 func (c *Catalog) Lacks(revision shelfshelf.Revision) bool {
 	index, _ := c.Index()
 	return index == nil || revision > index.Revision
 }
 
-// confirm notes that a configuration, or whichever is in force for nil, was the newest.
-func (c *Catalog) confirm(configuration *shelfshelf.Configuration, at time.Time) {
+// confirmIfCurrent records that a configuration was the newest at that time, if it is the current one.
+// Nil stands for the current one.
+func (c *Catalog) confirmIfCurrent(configuration *shelfshelf.Configuration, validAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	current := c.index != nil && (configuration == nil || configuration.Revision == c.index.Revision)
-	if current && at.After(c.configurationAt) {
-		c.configurationAt = at
+	if current && validAt.After(c.configurationValidAt) {
+		c.configurationValidAt = validAt
 	}
 }
 
-// Offer takes a configuration from another instance, known to hold up to then.
-func (c *Catalog) Offer(encoded []byte, at time.Time, from string) error {
+// Offer applies a configuration from another instance that was current at validAt.
+func (c *Catalog) Offer(encoded []byte, validAt time.Time, from string) error {
 	configuration, err := c.Source.DecodeConfiguration(encoded)
 	if err != nil {
 		return err
 	}
-	c.apply(configuration, at, from)
+	c.applyConfiguration(configuration, validAt, from)
 	return nil
 }
 
-// Confirm takes another instance's word that a revision was the newest then.
-func (c *Catalog) Confirm(revision shelfshelf.Revision, at time.Time) {
-	c.confirm(&shelfshelf.Configuration{Revision: revision}, at)
+// Confirm records that, according to another instance, this revision was the newest at that time.
+func (c *Catalog) Confirm(revision shelfshelf.Revision, validAt time.Time) {
+	c.confirmIfCurrent(&shelfshelf.Configuration{Revision: revision}, validAt)
 }
 
-// HeardOf notes that another instance has a revision in force, and reports whether that is
-// news and the revision newer than the one in force here.
+// HeardOf records a revision that another instance has as its current one. It reports whether the revision
+// is higher than all reported before and newer than the current one here.
 func (c *Catalog) HeardOf(revision shelfshelf.Revision) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	news := revision > c.newest
-	c.newest = max(c.newest, revision)
-	return news && (c.index == nil || revision > c.index.Revision)
+	isNew := revision > c.newestRevision
+	c.newestRevision = max(c.newestRevision, revision)
+	return isNew && (c.index == nil || revision > c.index.Revision)
 }
 
-// Superseded reports that a newer configuration than the one in force is known of.
+// Superseded reports whether another instance has reported a newer configuration than the current one.
 func (c *Catalog) Superseded() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.index != nil && c.newest > c.index.Revision
+	return c.index != nil && c.newestRevision > c.index.Revision
 }
 
-// SourceLost reports that reads of the source fail.
+// SourceLost reports whether reads of the source are failing.
 func (c *Catalog) SourceLost() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/catalog/changes.go
+++ b/catalog/changes.go
@@ -7,40 +7,41 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-// changesKept bounds how many changes of the list are remembered, for instances that know an earlier
-// one: where many change at once, that is some seconds.
-const changesKept = 512
+// maxChanges bounds the changes that are kept for instances with an earlier version of the list. When many
+// targets change at once, this covers a few seconds.
+const maxChanges = 512
 
-// listChange is what has changed between two versions of the list.
+// listChange is the set of targets that changed between two versions of the list.
 type listChange struct {
-	before, version uint64
-	names           []shelfshelf.TargetName
+	previousVersion, version uint64
+	names                    []shelfshelf.TargetName
 }
 
-// Delta is what has changed in the list since a version of it; the whole where that is not known.
+// Delta holds the changes of the list since an earlier version, or the full list if they are not known.
 type Delta struct {
-	// Snapshot has the targets that have changed, or all.
+	// Snapshot holds the changed targets, or all targets if Whole is set.
 	Snapshot
 	Whole   bool
 	After   uint64
 	Removed []shelfshelf.TargetName
 }
 
-// remember keeps which targets a change concerns; the lock is held. What changes without a new version,
-// as by the word of another instance on the same one, can't be told by versions.
-func (c *Catalog) remember(before uint64, names []shelfshelf.TargetName) {
+// recordChange records which targets a change affected. The caller holds the lock. A change within one
+// version, such as another instance's snapshot of the same version, can't be addressed by a version, so it
+// clears the recorded changes.
+func (c *Catalog) recordChange(previousVersion uint64, names []shelfshelf.TargetName) {
 	switch {
-	case c.targetsVersion > before && before > 0 && shelfshelf.EraOf(before) == shelfshelf.EraOf(c.targetsVersion):
-		c.changes = append(c.changes, listChange{before: before, version: c.targetsVersion, names: names})
-		if len(c.changes) > changesKept {
-			c.changes = slices.Delete(c.changes, 0, len(c.changes)-changesKept)
+	case c.targetsVersion > previousVersion && previousVersion > 0 && shelfshelf.EraOf(previousVersion) == shelfshelf.EraOf(c.targetsVersion):
+		c.changes = append(c.changes, listChange{previousVersion: previousVersion, version: c.targetsVersion, names: names})
+		if len(c.changes) > maxChanges {
+			c.changes = slices.Delete(c.changes, 0, len(c.changes)-maxChanges)
 		}
-	case len(names) > 0 || c.targetsVersion > before:
+	case len(names) > 0 || c.targetsVersion > previousVersion:
 		c.changes = nil
 	}
 }
 
-// TargetsSince returns what has changed in the list after a version of it.
+// TargetsSince returns the changes of the list after the given version.
 func (c *Catalog) TargetsSince(after uint64) Delta {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -56,10 +57,10 @@
 	return delta
 }
 
-// changedSince returns the targets that have changed after a version of the list, and whether all are
-// known; the lock is held.
+// changedSince returns the names of the targets that changed after the given version of the list. The
+// result known is false if not all changes since then are recorded. The caller holds the lock.
 func (c *Catalog) changedSince(after uint64) (names map[shelfshelf.TargetName]bool, known bool) {
-	if after == 0 || len(c.changes) == 0 || after < c.changes[0].before {
+	if after == 0 || len(c.changes) == 0 || after < c.changes[0].previousVersion {
 		return nil, false
 	}
 	names = make(map[shelfshelf.TargetName]bool)
@@ -71,26 +72,26 @@
 			names[name] = true
 		}
 	}
-	// Those that are kept for a moment are told as such, with how long.
-	for name := range c.vanished {
+	// Retained targets are always included, so that the receiver gets their expiry times.
+	for name := range c.retainedUntil {
 		names[name] = true
 	}
 	return names, true
 }
 
-// OfferDelta takes what has changed by another instance's word, if it is newer and goes on from what is
-// known here.
+// OfferDelta applies the changes from another instance if they are newer than the list here and leave no
+// gap after it.
 func (c *Catalog) OfferDelta(delta Delta, from string) {
 	if delta.Whole {
 		c.OfferTargets(delta.Snapshot, from)
 		return
 	}
 	c.mu.Lock()
-	goesOn := c.targetsVersion >= delta.After && delta.Version > c.targetsVersion
+	applies := c.targetsVersion >= delta.After && delta.Version > c.targetsVersion
 	c.mu.Unlock()
-	if !goesOn {
+	if !applies {
 		return
 	}
 	update := shelfshelf.TargetsUpdate{Changed: delta.Targets, Removed: delta.Removed, Version: delta.Version}
-	c.offer(update, delta.Snapshot, from)
+	c.applyOffer(update, delta.Snapshot, from)
 }
--- a/catalog/doc.go
+++ b/catalog/doc.go
@@ -1,8 +1,7 @@
-// Package catalog keeps what an instance knows of the configuration and the
-// targets, each with the instant up to which the knowledge is known to hold.
+// Package catalog holds an instance's copy of the configuration and of the target list, each with the
+// time at which it was last known to be current.
 //
-// Knowledge comes from the source, by reads that wait for changes, and from other
-// instances. Its age counts from when the read that confirmed it began, on the
-// steady clock, and not from when the answer came: an answer may have been held
-// up for any time on its way or in a process that stood still.
+// The data comes from the source, by long polling, and from other instances. Its age counts from the
+// start of the read that confirmed it, on the monotonic clock, and not from the arrival of the response:
+// a response may have been delayed for any time on the network or in a suspended process.
 package catalog
--- a/catalog/index.go
+++ b/catalog/index.go
@@ -9,11 +9,11 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-// Index is a configuration prepared for look-ups; it is immutable.
+// Index is an immutable configuration with look-up tables.
 type Index struct {
 	Revision shelfshelf.Revision
 	Bundle   *shelfshelf.Bundle
-	// Encoded is the form that instances hand to each other.
+	// Encoded is the serialized form that instances send to each other.
 	Encoded []byte
 
 	hosts     map[string]*hostRoutes
@@ -21,14 +21,14 @@
 	pools     map[shelfshelf.PoolName]*shelfshelf.Pool
 }
 
-// hostRoutes are the routes of one host.
+// hostRoutes holds the routes of one host.
 type hostRoutes struct {
-	// lengths are those of the prefixes, the longest first.
+	// lengths are the distinct lengths of the path prefixes, in descending order.
 	lengths  []int
 	byPrefix map[string]*shelfshelf.Route
 }
 
-// NewIndex prepares a configuration.
+// NewIndex builds the look-up tables of a configuration.
 func NewIndex(configuration *shelfshelf.Configuration) *Index {
 	bundle := configuration.Bundle
 	index := &Index{
@@ -57,7 +57,7 @@
 	return index
 }
 
-// addRoute adds a route; of two with the same prefix the first one counts.
+// addRoute adds a route. If two routes have the same host and prefix, the first one wins.
 func (i *Index) addRoute(route *shelfshelf.Route) {
 	host := strings.ToLower(route.Host)
 	routes := i.hosts[host]
@@ -65,18 +65,18 @@
 		routes = &hostRoutes{byPrefix: make(map[string]*shelfshelf.Route)}
 		i.hosts[host] = routes
 	}
-	if _, known := routes.byPrefix[route.PathPrefix]; known {
+	if _, exists := routes.byPrefix[route.PathPrefix]; exists {
 		return
 	}
 	routes.byPrefix[route.PathPrefix] = route
 	routes.lengths = append(routes.lengths, len(route.PathPrefix))
 }
 
-// Route returns the route of a host and a path, the longest prefix first; nil if
-// there is none. It looks once for each length of a prefix, however many routes there are.
+// Route returns the route with the longest prefix that matches a host and path, or nil if there is none. It
+// does one look-up per distinct prefix length, independent of the number of routes.
 func (i *Index) Route(host, path string) *shelfshelf.Route {
-	if bare, _, err := net.SplitHostPort(host); err == nil {
-		host = bare
+	if hostname, _, err := net.SplitHostPort(host); err == nil {
+		host = hostname
 	}
 	routes := i.hosts[strings.ToLower(host)]
 	if routes == nil {
@@ -93,12 +93,12 @@
 	return nil
 }
 
-// Customer returns the holder of a key; nil if nobody holds it.
+// Customer returns the customer that an API key belongs to, or nil if there is none.
 func (i *Index) Customer(key string) *shelfshelf.Customer {
 	return i.customers[sha256.Sum256([]byte(key))]
 }
 
-// Pool returns the pool of that name; nil if there is none.
+// Pool returns the pool of that name, or nil if there is none.
 func (i *Index) Pool(name shelfshelf.PoolName) *shelfshelf.Pool {
 	return i.pools[name]
 }
--- a/catalog/snapshot.go
+++ b/catalog/snapshot.go
@@ -8,56 +8,56 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-// Snapshot is what is known of the targets at one moment.
+// Snapshot is the state of the target list at one moment.
 type Snapshot struct {
 	Targets []shelfshelf.Target
-	// KeptUntil names those of them that the source has lost in an outage and that are
-	// used for a moment longer.
+	// KeptUntil holds the expiry times of those targets that are missing from the source's list after an
+	// outage and are still used for a short time.
 	KeptUntil map[shelfshelf.TargetName]time.Time
 	// Version orders snapshots: a greater one is newer.
 	Version uint64
-	// At is up to when the snapshot is known to hold; zero if nothing is known.
+	// At is the latest time at which the snapshot is known to have been current; zero if there is no data.
 	At time.Time
 }
 
-// TargetsKnown returns the version of the list of targets and up to when it is known
-// to hold, zero if nothing is known, without the list itself.
-func (c *Catalog) TargetsKnown() (version uint64, at time.Time) {
+// TargetsKnown returns the version of the target list and the latest time at which it is known to have been
+// current, which is zero if there is no data. It doesn't copy the list itself.
+func (c *Catalog) TargetsKnown() (version uint64, validAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.targetsVersion, c.targetsAt
+	return c.targetsVersion, c.targetsValidAt
 }
 
-// Targets returns the targets that may be used or are leaving.
+// Targets returns all targets, including those that are leaving or retained.
 func (c *Catalog) Targets() Snapshot {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.snapshot(maps.Keys(c.targets))
 }
 
-// snapshot returns those of some targets that may be used or are leaving; the lock is held.
+// snapshot returns a snapshot of the named targets without the expired ones. The caller holds the lock.
 func (c *Catalog) snapshot(names iter.Seq[shelfshelf.TargetName]) Snapshot {
-	snapshot := Snapshot{Version: c.targetsVersion, At: c.targetsAt, KeptUntil: make(map[shelfshelf.TargetName]time.Time)}
+	snapshot := Snapshot{Version: c.targetsVersion, At: c.targetsValidAt, KeptUntil: make(map[shelfshelf.TargetName]time.Time)}
 	now := c.Clock.Now()
 	for name := range names {
 		target, listed := c.targets[name]
-		until, vanished := c.vanished[name]
-		if !listed || vanished && !now.Before(until) {
+		expiry, retained := c.retainedUntil[name]
+		if !listed || retained && !now.Before(expiry) {
 			continue
 		}
-		if vanished {
-			snapshot.KeptUntil[name] = until
+		if retained {
+			snapshot.KeptUntil[name] = expiry
 		}
 		snapshot.Targets = append(snapshot.Targets, target)
 	}
 	return snapshot
 }
 
-// Target returns a target that is listed now; one that the source has lost is not.
+// Target returns a target that the source currently lists, but not a retained one.
 func (c *Catalog) Target(name shelfshelf.TargetName) (shelfshelf.Target, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	target, listed := c.targets[name]
-	_, vanished := c.vanished[name]
-	return target, listed && !vanished
+	_, retained := c.retainedUntil[name]
+	return target, listed && !retained
 }
