--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -23,26 +23,26 @@
 
 var errDown = errors.Join(shelfshelf.ErrUnavailable, errors.New("down"))
 
-// source is a catalog source in memory.
-type source struct {
+// fakeSource is an in-memory CatalogSource.
+type fakeSource struct {
 	mu       sync.Mutex
 	revision shelfshelf.Revision
 	targets  []shelfshelf.Target
-	// removed are told as single changes instead of a whole list.
+	// removed is returned by AwaitTargets as single changes.
 	removed []shelfshelf.TargetName
 	version uint64
 	err     error
 	reads   int
 }
 
-func (s *source) set(change func(*source)) {
+func (s *fakeSource) update(change func(*fakeSource)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(s)
 	s.version++
 }
 
-func (s *source) ReadConfiguration(context.Context) (shelfshelf.ConfigurationUpdate, error) {
+func (s *fakeSource) ReadConfiguration(context.Context) (shelfshelf.ConfigurationUpdate, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reads++
@@ -52,13 +52,13 @@
 	return shelfshelf.ConfigurationUpdate{Configuration: configuration(s.revision), Cursor: s.version + 1}, nil
 }
 
-func (s *source) AwaitConfiguration(ctx context.Context, cursor uint64, wait time.Duration) (shelfshelf.ConfigurationUpdate, error) {
+func (s *fakeSource) AwaitConfiguration(ctx context.Context, cursor uint64, wait time.Duration) (shelfshelf.ConfigurationUpdate, error) {
 	s.await(ctx, cursor, wait)
 	return s.ReadConfiguration(ctx)
 }
 
-// await waits for a change, as a long poll does.
-func (s *source) await(ctx context.Context, cursor uint64, wait time.Duration) {
+// await waits for a change like a long poll.
+func (s *fakeSource) await(ctx context.Context, cursor uint64, wait time.Duration) {
 	for end := time.Now().Add(wait); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(10 * time.Millisecond) {
 		s.mu.Lock()
 		due := s.version+1 > cursor || s.err != nil
@@ -69,7 +69,7 @@
 	}
 }
 
-func (s *source) ReadTargets(context.Context) (shelfshelf.TargetsUpdate, error) {
+func (s *fakeSource) ReadTargets(context.Context) (shelfshelf.TargetsUpdate, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.err != nil {
@@ -78,7 +78,7 @@
 	return shelfshelf.TargetsUpdate{Whole: true, Changed: s.targets, Version: s.version + 1, Cursor: s.version + 1}, nil
 }
 
-func (s *source) AwaitTargets(ctx context.Context, cursor uint64, wait time.Duration) (shelfshelf.TargetsUpdate, error) {
+func (s *fakeSource) AwaitTargets(ctx context.Context, cursor uint64, wait time.Duration) (shelfshelf.TargetsUpdate, error) {
 	s.await(ctx, cursor, wait)
 	update, err := s.ReadTargets(ctx)
 	s.mu.Lock()
@@ -89,7 +89,7 @@
 	return update, err
 }
 
-func (s *source) DecodeConfiguration(encoded []byte) (*shelfshelf.Configuration, error) {
+func (s *fakeSource) DecodeConfiguration(encoded []byte) (*shelfshelf.Configuration, error) {
 	if len(encoded) == 0 {
 		return nil, errors.New("empty")
 	}
@@ -100,18 +100,18 @@
 	return &shelfshelf.Configuration{Revision: revision, Bundle: &shelfshelf.Bundle{}}
 }
 
-func (s *source) count() int {
+func (s *fakeSource) readCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.reads
 }
 
-// bubble runs a test in simulated time beside a catalog.
-func bubble(t *testing.T, s *source, follow func() time.Duration, test func(c *catalog.Catalog)) {
-	bubbleWith(t, &catalog.Catalog{Source: s, Follow: follow}, test)
+// runWithSource runs a test in simulated time with a running catalog.
+func runWithSource(t *testing.T, s *fakeSource, follow func() time.Duration, test func(c *catalog.Catalog)) {
+	runWithCatalog(t, &catalog.Catalog{Source: s, Follow: follow}, test)
 }
 
-func bubbleWith(t *testing.T, c *catalog.Catalog, test func(c *catalog.Catalog)) {
+func runWithCatalog(t *testing.T, c *catalog.Catalog, test func(c *catalog.Catalog)) {
 	synctest.Test(t, func(*testing.T) {
 		c.Clock = clockwork.NewRealClock()
 		if c.Log == nil {
@@ -129,125 +129,127 @@
 	})
 }
 
-func age(c *catalog.Catalog) time.Duration {
+func configurationAge(c *catalog.Catalog) time.Duration {
 	_, at := c.Index()
 	return time.Since(at)
 }
 
-func TestKnowledgeIsConfirmedAndAges(t *testing.T) {
-	s := &source{revision: 3}
-	bubble(t, s, nil, func(c *catalog.Catalog) {
+// The age of the configuration stays below 2.2 s while the source answers, grows during an outage, and
+// drops again after it.
+func TestConfigurationAgeFollowsSourceAvailability(t *testing.T) {
+	s := &fakeSource{revision: 3}
+	runWithSource(t, s, nil, func(c *catalog.Catalog) {
 		for range 200 {
 			time.Sleep(50 * time.Millisecond)
-			if age(c) > 2200*time.Millisecond {
-				t.Fatalf("%v old while the source answers", age(c))
+			if configurationAge(c) > 2200*time.Millisecond {
+				t.Fatalf("configuration is %v old while the source answers", configurationAge(c))
 			}
 		}
-		s.set(func(s *source) { s.err = errDown })
+		s.update(func(s *fakeSource) { s.err = errDown })
 		time.Sleep(5 * time.Second)
-		if got := age(c); got < 4500*time.Millisecond {
-			t.Errorf("%v old after 5 s without the source", got)
+		if got := configurationAge(c); got < 4500*time.Millisecond {
+			t.Errorf("configuration is %v old after 5 s without the source", got)
 		}
 		if !c.SourceLost() {
-			t.Error("the loss of the source was not noticed")
+			t.Error("the outage of the source was not detected")
 		}
-		s.set(func(s *source) { s.err = nil })
+		s.update(func(s *fakeSource) { s.err = nil })
 		time.Sleep(time.Second)
-		if got := age(c); got > 2200*time.Millisecond || c.SourceLost() {
-			t.Errorf("%v old after the source is back", got)
+		if got := configurationAge(c); got > 2200*time.Millisecond || c.SourceLost() {
+			t.Errorf("configuration is %v old after the outage", got)
 		}
 	})
 }
 
-// A configuration never goes back, whoever says so, and a newer one is in force at
-// once.
-func TestConfigurationNeverGoesBack(t *testing.T) {
-	s := &source{revision: 5}
-	bubble(t, s, nil, func(c *catalog.Catalog) {
+// An older configuration is never applied, neither from the source nor from another instance; a newer one
+// is applied at once.
+func TestConfigurationRevisionNeverDecreases(t *testing.T) {
+	s := &fakeSource{revision: 5}
+	runWithSource(t, s, nil, func(c *catalog.Catalog) {
 		time.Sleep(100 * time.Millisecond)
 		revision := func() shelfshelf.Revision {
 			index, _ := c.Index()
 			return index.Revision
 		}
-		s.set(func(s *source) { s.revision = 4 })
+		s.update(func(s *fakeSource) { s.revision = 4 })
 		time.Sleep(3 * time.Second)
 		if revision() != 5 {
-			t.Errorf("back to %d by the source", revision())
+			t.Errorf("the source set the revision back to %d", revision())
 		}
 		if err := c.Offer([]byte{3}, time.Now(), "other"); err != nil || revision() != 5 {
-			t.Errorf("back to %d by another instance: %v", revision(), err)
+			t.Errorf("another instance set the revision back to %d: %v", revision(), err)
 		}
 		if err := c.Offer([]byte{9}, time.Now(), "other"); err != nil || revision() != 9 {
-			t.Errorf("%d is in force: %v", revision(), err)
+			t.Errorf("revision is %d, want 9: %v", revision(), err)
 		}
 		if err := c.Offer(nil, time.Now(), "other"); err == nil {
-			t.Error("an unreadable offer was taken")
+			t.Error("an offer that can't be decoded was accepted")
 		}
 	})
 }
 
-// Another instance's word confirms only the revision that is in force here.
-func TestConfirmationsAreForOneRevision(t *testing.T) {
-	s := &source{revision: 5}
-	bubble(t, s, nil, func(c *catalog.Catalog) {
+// A confirmation from another instance counts only if it is for the current revision.
+func TestConfirmAppliesOnlyToCurrentRevision(t *testing.T) {
+	s := &fakeSource{revision: 5}
+	runWithSource(t, s, nil, func(c *catalog.Catalog) {
 		time.Sleep(100 * time.Millisecond)
-		s.set(func(s *source) { s.err = errDown })
+		s.update(func(s *fakeSource) { s.err = errDown })
 		time.Sleep(3 * time.Second)
 		c.Confirm(4, time.Now())
 		c.Confirm(6, time.Now())
-		if age(c) < 2*time.Second {
-			t.Error("the word on another revision was taken")
+		if configurationAge(c) < 2*time.Second {
+			t.Error("a confirmation of another revision was accepted")
 		}
 		c.Confirm(5, time.Now().Add(-time.Second))
-		if got := age(c); got < time.Second || got > 1100*time.Millisecond {
-			t.Errorf("%v old", got)
+		if got := configurationAge(c); got < time.Second || got > 1100*time.Millisecond {
+			t.Errorf("configuration is %v old, want 1 s", got)
 		}
 	})
 }
 
-// Who doesn't follow the source hears of changes from others, and reads when what
-// it hears grows old.
-func TestFollowersReadAndOthersOnlyWhenStale(t *testing.T) {
-	s := &source{revision: 5}
-	bubble(t, s, func() time.Duration { return 2 * time.Second }, func(c *catalog.Catalog) {
+// An instance that is not a regular reader doesn't read the source while other instances confirm its
+// configuration, and reads it when the last confirmation becomes too old.
+func TestOtherInstancesReadOnlyWhenStale(t *testing.T) {
+	s := &fakeSource{revision: 5}
+	runWithSource(t, s, func() time.Duration { return 2 * time.Second }, func(c *catalog.Catalog) {
 		time.Sleep(100 * time.Millisecond)
-		before := s.count()
+		before := s.readCount()
 		for range 100 {
 			c.Confirm(5, time.Now())
 			time.Sleep(100 * time.Millisecond)
 		}
-		if got := s.count(); got != before {
+		if got := s.readCount(); got != before {
 			t.Errorf("%d reads while others confirm", got-before)
 		}
 		oldest := time.Duration(0)
 		for range 50 {
 			time.Sleep(100 * time.Millisecond)
-			oldest = max(oldest, age(c))
+			oldest = max(oldest, configurationAge(c))
 		}
-		if got := s.count(); got == before || oldest > 2100*time.Millisecond {
-			t.Errorf("%d reads, %v old without others", got-before, oldest)
+		if got := s.readCount(); got == before || oldest > 2100*time.Millisecond {
+			t.Errorf("%d reads and a configuration of up to %v old without confirmations", got-before, oldest)
 		}
 	})
 }
 
-// loseOneInOutage lets the source fail for 4 s and lack its second target afterwards.
-func loseOneInOutage(s *source) {
+// loseTargetInOutage makes the source fail for 4 s and drop its second target afterwards.
+func loseTargetInOutage(s *fakeSource) {
 	time.Sleep(100 * time.Millisecond)
-	s.set(func(s *source) { s.err = errDown })
+	s.update(func(s *fakeSource) { s.err = errDown })
 	time.Sleep(4 * time.Second)
-	s.set(func(s *source) {
+	s.update(func(s *fakeSource) {
 		s.err = nil
 		s.targets = s.targets[:1]
 	})
 }
 
-// Entries that are missing after an outage are kept for two seconds: their targets
-// may only have been unable to renew them.
-func TestVanishedTargetsAreKeptForAMoment(t *testing.T) {
+// Targets that are missing after an outage are retained for two seconds, because they may only have been
+// unable to renew their entries.
+func TestTargetsMissingAfterOutageAreRetained(t *testing.T) {
 	both := []shelfshelf.Target{{Name: "a", Address: "x"}, {Name: "b", Address: "y"}}
-	s := &source{revision: 5, targets: both}
-	bubble(t, s, nil, func(c *catalog.Catalog) {
-		loseOneInOutage(s)
+	s := &fakeSource{revision: 5, targets: both}
+	runWithSource(t, s, nil, func(c *catalog.Catalog) {
+		loseTargetInOutage(s)
 		time.Sleep(1500 * time.Millisecond)
 		if got := len(c.Targets().Targets); got != 2 {
 			t.Errorf("%d targets right after the outage", got)
@@ -256,29 +258,29 @@
 		if got := len(c.Targets().Targets); got != 1 {
 			t.Errorf("%d targets three seconds after the outage", got)
 		}
-		s.set(func(s *source) {
+		s.update(func(s *fakeSource) {
 			s.targets = nil
 			s.removed = []shelfshelf.TargetName{"a"}
 		})
 		time.Sleep(100 * time.Millisecond)
 		if got := len(c.Targets().Targets); got != 0 {
-			t.Errorf("%d targets after all have left in steady state", got)
+			t.Errorf("%d targets after the last one was removed", got)
 		}
 	})
 }
 
-// A target whose entry is removed while the source can be read has left, also right
-// after an outage, and so it is told to others.
-func TestRemovalsAfterAnOutageCount(t *testing.T) {
+// A target whose entry is removed while the source can be read is removed at once, also right after an
+// outage, so that other instances don't get it either.
+func TestRemovalAfterOutageTakesEffect(t *testing.T) {
 	both := []shelfshelf.Target{{Name: "a", Address: "x"}, {Name: "b", Address: "y"}}
-	s := &source{revision: 5, targets: both}
-	bubble(t, s, nil, func(c *catalog.Catalog) {
+	s := &fakeSource{revision: 5, targets: both}
+	runWithSource(t, s, nil, func(c *catalog.Catalog) {
 		time.Sleep(100 * time.Millisecond)
-		s.set(func(s *source) { s.err = errDown })
+		s.update(func(s *fakeSource) { s.err = errDown })
 		time.Sleep(4 * time.Second)
-		s.set(func(s *source) { s.err = nil })
+		s.update(func(s *fakeSource) { s.err = nil })
 		time.Sleep(600 * time.Millisecond)
-		s.set(func(s *source) {
+		s.update(func(s *fakeSource) {
 			s.targets = both[:1]
 			s.removed = []shelfshelf.TargetName{"b"}
 		})
@@ -289,9 +291,8 @@
 	})
 }
 
-// An instance that hears of targets from another keeps the vanished ones no longer
-// than that one does.
-func TestKeptTargetsAreToldAsSuch(t *testing.T) {
+// An instance that gets targets from another one keeps the retained ones no longer than the sender does.
+func TestOfferedTargetsKeepTheirExpiry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &catalog.Catalog{Clock: clockwork.NewRealClock(), Log: log.New(io.Discard)}
 		now := time.Now()
@@ -309,7 +310,7 @@
 	})
 }
 
-func TestRoutesGoByHostAndLongestPrefix(t *testing.T) {
+func TestRouteMatchesHostAndLongestPrefix(t *testing.T) {
 	index := catalog.NewIndex(&shelfshelf.Configuration{Revision: 1, Bundle: &shelfshelf.Bundle{Routes: []shelfshelf.Route{
 		{Name: "short", Host: "a.example", PathPrefix: "/x/"},
 		{Name: "long", Host: "a.example", PathPrefix: "/x/y/"},
@@ -333,29 +334,28 @@
 	}
 }
 
-// Whoever uses the targets is told when a kept one has to be dropped, though the source
-// says nothing more.
-func TestExpiredTargetsAreToldOf(t *testing.T) {
+// Changed is called when a retained target expires, although the source reports nothing new.
+func TestExpiryOfRetainedTargetCallsChanged(t *testing.T) {
 	both := []shelfshelf.Target{{Name: "a", Address: "x"}, {Name: "b", Address: "y"}}
-	s := &source{revision: 5, targets: both}
+	s := &fakeSource{revision: 5, targets: both}
 	c := &catalog.Catalog{Source: s}
-	var told atomic.Int64
-	c.Changed = func(string) { told.Store(int64(len(c.Targets().Targets))) }
-	bubbleWith(t, c, func(c *catalog.Catalog) {
-		loseOneInOutage(s)
+	var notified atomic.Int64
+	c.Changed = func(string) { notified.Store(int64(len(c.Targets().Targets))) }
+	runWithCatalog(t, c, func(c *catalog.Catalog) {
+		loseTargetInOutage(s)
 		time.Sleep(4 * time.Second)
-		if got := told.Load(); got != 1 {
-			t.Errorf("%d targets were told of last", got)
+		if got := notified.Load(); got != 1 {
+			t.Errorf("%d targets at the last call of Changed, want 1", got)
 		}
 	})
 }
 
-// A whole list that says nothing new changes nothing and is not logged as a change.
-func TestOnlyChangesAreTold(t *testing.T) {
-	s := &source{revision: 5, targets: []shelfshelf.Target{{Name: "a", Address: "x"}, {Name: "b", Address: "y"}}}
+// A full list without changes is neither logged nor reported as a change.
+func TestUnchangedTargetsAreNotReported(t *testing.T) {
+	s := &fakeSource{revision: 5, targets: []shelfshelf.Target{{Name: "a", Address: "x"}, {Name: "b", Address: "y"}}}
 	var lines bytes.Buffer
 	c := &catalog.Catalog{Source: s, Log: log.New(&lines), Follow: func() time.Duration { return time.Hour }}
-	bubbleWith(t, c, func(c *catalog.Catalog) {
+	runWithCatalog(t, c, func(c *catalog.Catalog) {
 		time.Sleep(100 * time.Millisecond)
 		snapshot := c.Targets()
 		for range 3 {
@@ -365,15 +365,15 @@
 		}
 	})
 	if got := strings.Count(lines.String(), "Targets have changed."); got != 2 {
-		t.Errorf("%d changes in\n%s", got, &lines)
+		t.Errorf("%d changes logged, want 2:\n%s", got, &lines)
 	}
 	if last := lines.String(); strings.Count(last, "changed=\"[a b]\"")+strings.Count(last, "changed=\"[b a]\"") != 1 {
-		t.Errorf("what did not change is told:\n%s", last)
+		t.Errorf("an unchanged target is logged as changed:\n%s", last)
 	}
 }
 
-// Looking up by lengths of prefixes finds what a look at every route finds.
-func TestLookUpsFindWhatAScanFinds(t *testing.T) {
+// The look-up by prefix length finds the same route as a linear scan of all routes.
+func TestRouteAgreesWithLinearScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		path := rapid.StringMatching(`(/[ab]{0,2}){0,4}/?`)
 		hosts := rapid.SampledFrom([]string{"a.example", "B.example"})
@@ -396,8 +396,8 @@
 	})
 }
 
-// BenchmarkRoute looks for one of 4,250 routes of one host: 2,879 ns with a look at every
-// route, 111 ns with one a length of prefix.
+// BenchmarkRoute looks up a path that matches none of 4,250 routes of one host: 2,879 ns with a scan of all
+// routes, 111 ns with one look-up per prefix length.
 func BenchmarkRoute(b *testing.B) {
 	var routes []shelfshelf.Route
 	for i := range 4250 {
@@ -409,47 +409,47 @@
 	}
 }
 
-// forgetful is a source that drops its history at once, and answers after 4 ms.
-type forgetful struct {
-	*source
+// sourceWithoutHistory is a source that drops its change history at once and answers after 4 ms.
+type sourceWithoutHistory struct {
+	*fakeSource
 	calls atomic.Int64
 }
 
-func (f *forgetful) call() {
+func (f *sourceWithoutHistory) call() {
 	f.calls.Add(1)
 	time.Sleep(4 * time.Millisecond)
 }
 
-func (f *forgetful) ReadConfiguration(ctx context.Context) (shelfshelf.ConfigurationUpdate, error) {
+func (f *sourceWithoutHistory) ReadConfiguration(ctx context.Context) (shelfshelf.ConfigurationUpdate, error) {
 	f.call()
-	return f.source.ReadConfiguration(ctx)
+	return f.fakeSource.ReadConfiguration(ctx)
 }
 
-func (f *forgetful) AwaitConfiguration(context.Context, uint64, time.Duration) (shelfshelf.ConfigurationUpdate, error) {
+func (f *sourceWithoutHistory) AwaitConfiguration(context.Context, uint64, time.Duration) (shelfshelf.ConfigurationUpdate, error) {
 	f.call()
 	return shelfshelf.ConfigurationUpdate{}, shelfshelf.ErrHistoryGone
 }
 
-func (f *forgetful) ReadTargets(ctx context.Context) (shelfshelf.TargetsUpdate, error) {
+func (f *sourceWithoutHistory) ReadTargets(ctx context.Context) (shelfshelf.TargetsUpdate, error) {
 	f.call()
-	return f.source.ReadTargets(ctx)
+	return f.fakeSource.ReadTargets(ctx)
 }
 
-func (f *forgetful) AwaitTargets(context.Context, uint64, time.Duration) (shelfshelf.TargetsUpdate, error) {
+func (f *sourceWithoutHistory) AwaitTargets(context.Context, uint64, time.Duration) (shelfshelf.TargetsUpdate, error) {
 	f.call()
 	return shelfshelf.TargetsUpdate{}, shelfshelf.ErrHistoryGone
 }
 
-// Where the platform's store dropped its history six times a second for 14 s, the readers
-// of two data centres read the whole and asked for changes in turn without a pause, 5,618
-// calls on one day, and passed for cut off from it.
-func TestLostHistoryCostsFewCalls(t *testing.T) {
-	s := &forgetful{source: &source{revision: 3}}
-	bubbleWith(t, &catalog.Catalog{Source: s}, func(c *catalog.Catalog) {
+// Guards against full reads without a pause, and against reporting the source as lost, when it drops its
+// change history again and again. When the platform's store did so six times a second for 14 s, the readers
+// of two data centres made 5,618 calls by alternating full reads and polls, and counted as cut off from it.
+func TestLostHistoryLimitsCalls(t *testing.T) {
+	s := &sourceWithoutHistory{fakeSource: &fakeSource{revision: 3}}
+	runWithCatalog(t, &catalog.Catalog{Source: s}, func(c *catalog.Catalog) {
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
-			if age(c) > 700*time.Millisecond {
-				t.Fatalf("knowledge is %v old", age(c))
+			if configurationAge(c) > 700*time.Millisecond {
+				t.Fatalf("configuration is %v old", configurationAge(c))
 			}
 			if c.SourceLost() {
 				t.Fatal("a source that answers counts as lost")
--- a/catalog/changes_test.go
+++ b/catalog/changes_test.go
@@ -15,8 +15,8 @@
 	"github.com/shelfshelf/shelfshelf/catalog"
 )
 
-// listed returns what a catalog knows, in an order that can be compared.
-func listed(c *catalog.Catalog) []shelfshelf.Target {
+// sortedTargets returns the targets of a catalog, sorted by name.
+func sortedTargets(c *catalog.Catalog) []shelfshelf.Target {
 	targets := c.Targets().Targets
 	slices.SortFunc(targets, func(a, b shelfshelf.Target) int {
 		if a.Name < b.Name {
@@ -27,54 +27,54 @@
 	return targets
 }
 
-// Instances that hand changes of the list on, in whatever order and as often as they meet, know the same
-// list in the end as one that gets it whole.
-func TestChangesOfTheListComeToTheSame(t *testing.T) {
+// Instances that exchange deltas, in any order and number, end up with the same list as the instance that
+// gets full lists.
+func TestDeltasConvergeToFullList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := clockwork.NewFakeClock()
-		all := make([]*catalog.Catalog, 4)
-		for i := range all {
-			all[i] = &catalog.Catalog{Clock: clock, Log: log.New(io.Discard)}
+		catalogs := make([]*catalog.Catalog, 4)
+		for i := range catalogs {
+			catalogs[i] = &catalog.Catalog{Clock: clock, Log: log.New(io.Discard)}
 		}
-		truth := map[shelfshelf.TargetName]shelfshelf.Target{}
+		expected := map[shelfshelf.TargetName]shelfshelf.Target{}
 		version := uint64(1)
 		offer := func(from, to int) {
-			known, _ := all[to].TargetsKnown()
-			all[to].OfferDelta(all[from].TargetsSince(known), "other")
+			known, _ := catalogs[to].TargetsKnown()
+			catalogs[to].OfferDelta(catalogs[from].TargetsSince(known), "other")
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			clock.Advance(10 * time.Millisecond)
 			switch rapid.SampledFrom([]string{"change", "change", "remove", "hand on", "hand on"}).Draw(t, "step") {
 			case "change":
 				name := shelfshelf.TargetName(fmt.Sprint("t", rapid.IntRange(0, 6).Draw(t, "target")))
-				truth[name] = shelfshelf.Target{Name: name, Slots: rapid.IntRange(1, 9).Draw(t, "slots")}
+				expected[name] = shelfshelf.Target{Name: name, Slots: rapid.IntRange(1, 9).Draw(t, "slots")}
 			case "remove":
-				delete(truth, shelfshelf.TargetName(fmt.Sprint("t", rapid.IntRange(0, 6).Draw(t, "target"))))
+				delete(expected, shelfshelf.TargetName(fmt.Sprint("t", rapid.IntRange(0, 6).Draw(t, "target"))))
 			case "hand on":
 				offer(rapid.IntRange(0, 3).Draw(t, "from"), rapid.IntRange(0, 3).Draw(t, "to"))
 				continue
 			}
 			version++
 			var targets []shelfshelf.Target
-			for _, target := range truth {
+			for _, target := range expected {
 				targets = append(targets, target)
 			}
-			all[0].OfferTargets(catalog.Snapshot{Targets: targets, Version: version, At: clock.Now()}, "source")
+			catalogs[0].OfferTargets(catalog.Snapshot{Targets: targets, Version: version, At: clock.Now()}, "source")
 		}
-		for i := 1; i < len(all); i++ {
+		for i := 1; i < len(catalogs); i++ {
 			offer(0, i)
-			if got, want := listed(all[i]), listed(all[0]); !slices.Equal(got, want) {
+			if got, want := sortedTargets(catalogs[i]), sortedTargets(catalogs[0]); !slices.Equal(got, want) {
 				t.Fatalf("%v, not %v", got, want)
 			}
 		}
 	})
 }
 
-// What one change of a list of 3,000 targets hands on has one target, not all.
-func TestAChangeOfTheListIsHandedOnAlone(t *testing.T) {
+// The delta of one update to a list of 3,000 targets holds only the changed targets.
+func TestDeltaHasOnlyChangedTargets(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	first := &catalog.Catalog{Clock: clock, Log: log.New(io.Discard)}
-	targets := threeThousand()
+	targets := manyTargets()
 	first.OfferTargets(catalog.Snapshot{Targets: targets, Version: 5, At: clock.Now()}, "source")
 	changed := slices.Clone(targets[1:])
 	changed[0].Leaving = true
@@ -88,11 +88,11 @@
 	}
 }
 
-// What one change of 3,000 targets costs each time that it is handed on.
-func BenchmarkAChangeIsHandedOn(b *testing.B) {
+// BenchmarkTargetsSince measures the delta of one removal from a list of 3,000 targets.
+func BenchmarkTargetsSince(b *testing.B) {
 	clock := clockwork.NewFakeClock()
 	c := &catalog.Catalog{Clock: clock, Log: log.New(io.Discard)}
-	targets := threeThousand()
+	targets := manyTargets()
 	c.OfferTargets(catalog.Snapshot{Targets: targets, Version: 5, At: clock.Now()}, "source")
 	clock.Advance(time.Second)
 	c.OfferTargets(catalog.Snapshot{Targets: targets[1:], Version: 7, At: clock.Now()}, "source")
@@ -101,7 +101,7 @@
 	}
 }
 
-func threeThousand() []shelfshelf.Target {
+func manyTargets() []shelfshelf.Target {
 	var targets []shelfshelf.Target
 	for i := range 3000 {
 		targets = append(targets, shelfshelf.Target{Name: shelfshelf.TargetName(fmt.Sprint("t", i)), Slots: 8})
