--- a/balance/announced_test.go
+++ b/balance/announced_test.go
@@ -54,7 +54,7 @@
 }
 
 // If all targets have requested a backoff for longer than a request can wait, it is refused at
-// once, with a retry delay until the first backoff ends, however long that is. Otherwise the
+// once, with a retry delay until the first backoff ends, even beyond maxRetryAfter. Otherwise the
 // request waits for that end.
 func TestAllTargetsRequestBackoff(t *testing.T) {
 	for _, test := range []struct {
@@ -91,8 +91,8 @@
 	}
 }
 
-// A request that is granted a slot at a target that has begun to back off or to leave goes to
-// another target.
+// A request that is granted a slot at a target that has meanwhile requested a backoff or started to
+// leave goes to another target.
 func TestGrantsAtUnavailableTargetsAreRetriedElsewhere(t *testing.T) {
 	for name, answer := range map[string]shelfshelf.Answer{
 		"rest": {Rest: 5 * time.Second}, "leaving": {Leaving: true},
--- a/balance/backoff.go
+++ b/balance/backoff.go
@@ -12,7 +12,8 @@
 const maxRequestedBackoff = 30 * time.Second
 
 // requestedBackoffEnd returns when the first requested backoff ends among the targets that may
-// serve the request; zero if one of these targets requests none at the moment.
+// serve the request; zero if one of these targets requests none at the moment, or if there are no
+// such targets.
 func (p *pool) requestedBackoffEnd(need Need, now time.Time) time.Time {
 	var first time.Time
 	for _, t := range p.targets {
@@ -40,7 +41,7 @@
 }
 
 // refusalRetryAfter returns the retry delay for a refused caller. If all targets have requested a
-// backoff, it is not before the first of these ends.
+// backoff, the delay lasts at least until the first of these ends, up to maxRequestedBackoff.
 func (b *Balancer) refusalRetryAfter(need Need) time.Duration {
 	if left := b.RestLeft(need); left > 0 {
 		return left
@@ -60,7 +61,8 @@
 	return spreadRetryAfter(need, until.Sub(b.Clock.Now()))
 }
 
-// requestedBackoffEnd looks up the pool of the request.
+// requestedBackoffEnd is pool.requestedBackoffEnd for the pool of the request; zero if that pool is
+// unknown.
 func (b *Balancer) requestedBackoffEnd(need Need) time.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -44,9 +44,9 @@
 	// PromptTokens and OutputTokens are the expected sizes, zero for plain services.
 	PromptTokens int
 	OutputTokens int
-	// Avoid lists targets that have already failed this request.
+	// Avoid lists the targets that have already failed the request.
 	Avoid []shelfshelf.TargetName
-	// Homes lists the regions that may serve the request; nil means any.
+	// Homes are the allowed regions of the request; nil means any.
 	Homes *shelfshelf.Homes
 	// Route is the route on which the request arrived.
 	Route shelfshelf.RouteName
@@ -79,8 +79,8 @@
 	Self shelfshelf.InstanceID
 	// Fleet describes the other instances; nil means that there are none.
 	Fleet Fleet
-	// Places requests slots from the owners of engines. If it is nil, this instance decides alone,
-	// from the loads that the others report.
+	// Places requests slots from the owners of engines. If it is nil, this instance decides by its
+	// own view of the load: its own requests and the loads that the others report.
 	Places shelfshelf.Places
 	// Rollouts chooses the target versions that requests may use; nil allows any.
 	Rollouts shelfshelf.Rollouts
@@ -94,7 +94,7 @@
 	targets      map[shelfshelf.TargetName]*targetState
 	targetsByKey map[shelfshelf.TargetKey]*targetState
 	// peerTargets and remoteTargets are the targets in the latest report of each instance and data
-	// centre. With them a new report replaces the previous one without a scan of all targets.
+	// centre. They allow a new report to replace the previous one without a scan of all targets.
 	peerTargets   map[shelfshelf.InstanceID][]*targetState
 	remoteTargets map[shelfshelf.DataCentre][]*targetState
 	// evacuated lists the data centres whose targets get no new requests.
@@ -109,7 +109,7 @@
 	waitingAtOwners atomic.Int64
 }
 
-// pool holds the targets and the queue of one pool.
+// pool holds the targets and the queue of one pool. It is protected by Balancer.mu.
 type pool struct {
 	spec    *shelfshelf.Pool
 	targets []*targetState
@@ -121,7 +121,7 @@
 
 // SetTargets replaces pools and targets; requests in flight stay counted. A target that has
 // restarted under the same name gets a new state: no load, no cached prompts and no backoff. Leases
-// of its previous process don't affect the new state.
+// of its previous incarnation don't affect the new state.
 func (b *Balancer) SetTargets(pools []shelfshelf.Pool, targets []shelfshelf.Target) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -174,7 +174,7 @@
 	}, true
 }
 
-// addTarget adds a target to the current lists; the lock is held.
+// addTarget adds a target to the current lists. The caller must hold b.mu.
 func (b *Balancer) addTarget(state *targetState, target shelfshelf.Target, created bool, now time.Time) {
 	p := b.pools[target.Pool]
 	if p != nil {
@@ -231,7 +231,8 @@
 	return b.Places != nil && p != nil && p.spec.Engine != nil && len(p.targets) > 0
 }
 
-// acquireLocally waits for a slot, deciding by this instance's own view of the load.
+// acquireLocally waits for a slot without asking owners: this instance decides by its own view of
+// the load.
 func (b *Balancer) acquireLocally(ctx context.Context, need Need) (*Lease, error) {
 	b.mu.Lock()
 	now := b.Clock.Now()
--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -134,7 +134,7 @@
 }
 
 // The last slot of an engine is reserved for the highest tier and for requests that a target has
-// already begun.
+// already worked on.
 func TestLastSlotIsReservedForHighestTier(t *testing.T) {
 	b := newBalancer(4, local)
 	lower := need("lower", 0)
--- a/balance/choose.go
+++ b/balance/choose.go
@@ -20,15 +20,16 @@
 	// completionTimeShare is the share of the time left until the caller's deadline within which
 	// the whole answer should end; an engine expected to take longer is penalized by one goal. The
 	// duration of the answer has no other influence on the cost, since a slow engine is slow for
-	// short answers in the same proportion. With a weight of 0.2 on the duration, long answers
-	// asked only the fastest engines, which all other requests ask too: 0.28 of the longest tenth
-	// were served, against 0.75 of all requests.
+	// short answers in the same proportion. With a weight of 0.2 on the duration, requests with
+	// long answers asked only the fastest engines, which all other requests ask too: of the tenth
+	// with the longest answers, 0.28 were served, against 0.75 of all requests.
 	completionTimeShare = 0.7
 	// safeGoalShare is the share of its goal that a request may be expected to use without a
 	// penalty. Predictions are often off by a factor of two.
 	safeGoalShare = 0.35
 	// maxBiasShare, multiplied by the staleness of the load reports, is the largest bias that an
-	// instance adds to a target. The bias has biasSteps different values.
+	// instance adds to the cost of a target (see instanceBias). The bias has biasSteps different
+	// values.
 	maxBiasShare = 0.3
 	biasSteps    = 64
 	// prefillChunkTokens is how many prompt tokens an engine is assumed to prefill in one step.
@@ -43,8 +44,8 @@
 	inFlightPenalty = 3 * time.Millisecond
 )
 
-// tryGrant grants a request a slot at the best target with a free one; nil if there is none. The
-// lock is held.
+// tryGrant grants a request a slot at the target with the lowest cost among those with a free slot;
+// nil if there is none. The caller must hold b.mu.
 func (b *Balancer) tryGrant(p *pool, need Need, now time.Time) *Lease {
 	b.refreshFleetState(now)
 	best := b.cheapest(p, need, now, func(t *targetState) bool { return t.assignable(need, now) })
@@ -54,8 +55,8 @@
 	return b.grantWithoutOwner(p, best, need, now)
 }
 
-// cheapest returns the target with the lowest cost among those that fits accepts, or nil; the lock
-// is held.
+// cheapest returns the target with the lowest cost among those that fits accepts, or nil. The
+// caller must hold b.mu.
 func (b *Balancer) cheapest(p *pool, need Need, now time.Time, fits func(*targetState) bool) *targetState {
 	var best *targetState
 	var bestCost time.Duration
@@ -71,8 +72,8 @@
 	return best
 }
 
-// grantWithoutOwner takes a slot without asking its owner, who is told afterwards; the lock is
-// held.
+// grantWithoutOwner takes a slot that no owner has granted, and reports it to the owner. The caller
+// must hold b.mu.
 func (b *Balancer) grantWithoutOwner(p *pool, t *targetState, need Need, now time.Time) *Lease {
 	lease := b.grant(p, t, need, now)
 	if b.Places != nil && t.engine {
@@ -93,7 +94,7 @@
 	return shelfshelf.Later(t.backoffUntil, shelfshelf.Later(t.askOwnerAfter, t.announcement.RestUntil))
 }
 
-// eligible reports whether a target can serve this request at any time.
+// eligible reports whether a target may serve this request, now or later.
 func (t *targetState) eligible(need Need) bool {
 	allowedRegion := need.Homes == nil || need.Homes.Allows(t.region)
 	return allowedRegion && !t.evacuated && !t.target.Leaving && !slices.Contains(need.Avoid, t.target.Name) && allowed(need.choice, t)
@@ -109,9 +110,9 @@
 // slotLimit is how many requests a target may have in flight, including this one. An engine
 // reserves some slots for higher tiers. A plain service queues its calls, which end before a report
 // on them has reached the other instances; it may get another call as long as the call should start
-// within a safe share of its goal. With 78 instances and three targets of six slots, queuing
-// brought 6% more calls of a high-load day in on time and left 0.3 of the refusals (one seed, with
-// and without queuing).
+// within a safe share of its goal. With 78 instances and three targets of six slots on a high-load
+// day, queuing served 6% more calls in time and reduced the refusals to 0.3 of their number (one
+// seed, with and without queuing).
 func (t *targetState) slotLimit(need Need) int {
 	if t.engine {
 		return t.slots - shelfshelf.ReservedPlaces(t.slots, need.Tier, need.Begun)
@@ -120,7 +121,8 @@
 	return max(t.slots, int(rounds*float64(t.slots)))
 }
 
-// cost is the expected time to the first token plus penalties, all as durations.
+// cost is the expected time to the first token, or to a plain answer, plus penalties, all as
+// durations. The caller must hold b.mu.
 func (b *Balancer) cost(p *pool, t *targetState, need Need, now time.Time) time.Duration {
 	requests := t.load(now).requests
 	uncached := b.uncachedTokens(t, need, now)
@@ -160,10 +162,11 @@
 	return time.Duration(over * over * float64(goal))
 }
 
-// instanceBias adds a bias that is constant for a pair of instance and target, so that each
-// instance prefers different targets among nearly equal ones. Load reports arrive late; without the
-// bias, all instances would send to the target that looked best. With it, each instance mostly uses
-// targets whose load it knows well.
+// instanceBias returns a part of the cost that is constant for a pair of instance and target, so
+// that each instance prefers different targets among nearly equal ones. Load reports arrive late;
+// without the bias, all instances would send to the same target that looks best. With it, much of
+// the load of a target comes from the instances that prefer it, and each of them knows its own part
+// exactly. The caller must hold b.mu.
 func (b *Balancer) instanceBias(t *targetState) time.Duration {
 	hash := xxhash.Sum64String(string(b.Self) + "/" + string(t.target.Name))
 	part := float64(hash%biasSteps) / biasSteps
@@ -171,7 +174,8 @@
 }
 
 // unreportedRequests estimates how many requests other instances have sent to a target since their
-// last reports: their requests there, times the fraction of the hold time that has passed since.
+// last reports: their requests there, times the fraction of the hold time that has passed since,
+// which on average is half the staleness. The caller must hold b.mu.
 func (b *Balancer) unreportedRequests(t *targetState, requests int) float64 {
 	if t.holdTime == 0 {
 		return 0
@@ -181,7 +185,7 @@
 }
 
 // expect predicts the time to the first token, given how many prompt tokens the target has not
-// cached, or the time to a plain answer.
+// cached; for a plain service, the time to its answer. The caller must hold b.mu.
 func (b *Balancer) expect(p *pool, t *targetState, uncached int, now time.Time) time.Duration {
 	loaded := t.load(now)
 	requests := loaded.requests
@@ -191,8 +195,8 @@
 	}
 	prefill := p.prefillTime(t, uncached+loaded.prefillAhead(uncached), now)
 	queued := max(float64(requests+1-t.slots)+b.unreportedRequests(t, requests), 0)
-	turn := float64(t.holdTime) / float64(t.slots)
-	return firstTokenOverhead + prefill + time.Duration(queued*turn)
+	timeToFreeSlot := float64(t.holdTime) / float64(t.slots)
+	return firstTokenOverhead + prefill + time.Duration(queued*timeToFreeSlot)
 }
 
 // expectHoldTime predicts how long a request would hold its slot on an otherwise idle engine, given
@@ -207,7 +211,8 @@
 	return time.Duration(float64(tokens) / p.prefillRate(t, now) * float64(time.Millisecond))
 }
 
-// uncachedTokens is how many prompt tokens of a request a target would have to prefill.
+// uncachedTokens is how many prompt tokens of a request a target would have to prefill. The caller
+// must hold b.mu.
 func (b *Balancer) uncachedTokens(t *targetState, need Need, now time.Time) int {
 	return max(need.PromptTokens-b.prefixes.cachedTokens(now, need.Prompt, t.target.Name), 0)
 }
@@ -243,7 +248,7 @@
 	return 1 - math.Exp2(-float64(age)/float64(speedHalfLife))
 }
 
-// grant takes a slot at a target; the lock is held.
+// grant takes a slot at a target. The caller must hold b.mu.
 func (b *Balancer) grant(p *pool, t *targetState, need Need, now time.Time) *Lease {
 	loaded := t.load(now)
 	uncached := b.uncachedTokens(t, need, now)
--- a/balance/cold.go
+++ b/balance/cold.go
@@ -6,8 +6,9 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-// coldReportDelay is how long it may take until this instance learns that a target has turned cold:
-// from the target's entry, which the target writes every 1.2 s, or from another instance.
+// coldReportDelay is how long it may take until this instance learns that a target has turned cold.
+// It learns that from the target's entry, which the target writes every 1.2 s, or from another
+// instance.
 const coldReportDelay = 2 * time.Second
 
 // ColdState is what is known of a target that may turn cold.
@@ -22,9 +23,9 @@
 // or may turn cold at any moment.
 func (t *targetState) ownerOnly() bool { return t.hasLimit() || t.coldRate > 0 }
 
-// firstOwnerOnly reports whether only the first owner may grant the slots of a target, even if that
-// owner doesn't answer: each further owner would grant the full rate again.
-func (t *targetState) firstOwnerOnly(now time.Time) bool {
+// primaryOwnerOnly reports whether only the primary owner may grant the slots of a target, even if
+// that owner doesn't answer: any other owner would grant the full rate again.
+func (t *targetState) primaryOwnerOnly(now time.Time) bool {
 	return t.hasLimit() || t.maybeCold(now)
 }
 
@@ -33,8 +34,8 @@
 
 // updateCold sets the rate that a target can take while cold, and extends the time in which it may
 // be cold: after a start seen by this instance, for the time given in the target's entry, and after
-// a start of this instance, which can't know how long the target has been running. The lock is
-// held.
+// a start of this instance, which can't know how long the target has been running. The caller must
+// hold b.mu.
 func (b *Balancer) updateCold(t *targetState, p *pool, listed shelfshelf.Target, created bool, now time.Time) {
 	t.coldRate = p.spec.Cold.PerSecond
 	if created {
@@ -52,7 +53,8 @@
 	}
 }
 
-// markMaybeColdAfterBackoff notes that an unreachable target may have restarted; the lock is held.
+// markMaybeColdAfterBackoff notes that an unreachable target may have restarted. The caller must
+// hold b.mu.
 func (b *Balancer) markMaybeColdAfterBackoff(l *Lease, now time.Time) {
 	if p := b.pools[l.need.Pool]; p != nil {
 		l.state.markMaybeCold(p, shelfshelf.Later(now, l.state.backoffUntil))
--- a/balance/evacuated.go
+++ b/balance/evacuated.go
@@ -7,7 +7,8 @@
 )
 
 // SetEvacuated sets the data centres whose targets get no new requests. Targets of all other data
-// centres may get requests; requests in flight continue.
+// centres may get requests; requests in flight continue. A target whose evacuation has ended may be
+// cold.
 func (b *Balancer) SetEvacuated(centres []shelfshelf.DataCentre) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/balance/fleet.go
+++ b/balance/fleet.go
@@ -18,7 +18,7 @@
 	at        time.Time
 }
 
-// refreshFleetState updates the cached state of the fleet; the lock is held.
+// refreshFleetState updates the cached state of the fleet. The caller must hold b.mu.
 func (b *Balancer) refreshFleetState(now time.Time) {
 	if b.Fleet == nil || !b.fleetState.at.IsZero() && now.Sub(b.fleetState.at) < fleetStateTTL {
 		return
--- a/balance/lease.go
+++ b/balance/lease.go
@@ -21,8 +21,8 @@
 	// InFlight is the estimate of requests that all instances had in flight at the target before
 	// this one.
 	InFlight int
-	// Asked is how many owners were asked for a slot. Alone says that no owner granted it, so that
-	// this instance took the slot based on its own view of the load.
+	// Asked is how many owners were asked for a slot. Alone says that no owner granted the slot:
+	// this instance took it by its own view of the load.
 	Asked int
 	Alone bool
 
@@ -80,7 +80,8 @@
 	}
 }
 
-// observePrefillRate derives the target's prefill rate from the time to the first token.
+// observePrefillRate derives the target's prefill rate from the time to the first token. The caller
+// must hold b.mu.
 func (l *Lease) observePrefillRate() {
 	tokens := l.tokensAhead + l.need.PromptTokens - l.CachedTokens
 	if tokens < minRateSampleTokens {
@@ -113,7 +114,7 @@
 	}
 }
 
-// release frees a slot; unused says that the request was never sent. The lock is held.
+// release frees a slot; unused says that the request was never sent. The caller must hold b.mu.
 func (b *Balancer) release(l *Lease, result Result, unused bool) {
 	now := b.Clock.Now()
 	l.state.local.requests--
@@ -138,7 +139,8 @@
 	}
 }
 
-// observeCompletion records the duration of a successful request and the time per token.
+// observeCompletion records the duration of a successful request and the time per token. The caller
+// must hold b.mu.
 func (l *Lease) observeCompletion(now time.Time, result Result) {
 	if l.need.PromptTokens == 0 {
 		l.state.meanCallTime = time.Duration(updateMean(float64(l.state.meanCallTime), float64(now.Sub(l.grantedAt))))
@@ -154,6 +156,7 @@
 	l.balancer.recordStep(l.state, time.Duration(step), now)
 }
 
+// engineSpec returns the engine settings of a pool; nil if it has none. The caller must hold b.mu.
 func (b *Balancer) engineSpec(name shelfshelf.PoolName) *shelfshelf.EngineSpec {
 	if p := b.pools[name]; p != nil {
 		return p.spec.Engine
--- a/balance/loads.go
+++ b/balance/loads.go
@@ -7,7 +7,7 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-// Own returns the load of this instance.
+// Own returns the load of this instance for its next status, and records it as reported.
 func (b *Balancer) Own() []shelfshelf.TargetLoad {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -35,7 +35,7 @@
 	return loads
 }
 
-// Heard handles the reported load of another instance of this data centre.
+// Heard handles the load that another instance of this data centre reports in its status.
 func (b *Balancer) Heard(from shelfshelf.InstanceID, loads []shelfshelf.TargetLoad) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -54,7 +54,7 @@
 	b.dispatchAll(now)
 }
 
-// HeardCentre handles the digest of a data centre.
+// HeardCentre handles the loads and speeds in the digest of a data centre.
 func (b *Balancer) HeardCentre(digest shelfshelf.Digest) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -81,7 +81,7 @@
 	b.dispatchAll(now)
 }
 
-// setDataCentreLoads handles the total loads of this data centre; the lock is held.
+// setDataCentreLoads handles the digest of this data centre. The caller must hold b.mu.
 func (b *Balancer) setDataCentreLoads(digest shelfshelf.Digest, now time.Time) {
 	for _, t := range b.targetsByKey {
 		t.dataCentreLoad = reportedLoad{at: now.Add(-digest.Age)}
@@ -96,7 +96,7 @@
 }
 
 // resolveTargets returns the targets of the reported loads and moves the loads of unknown targets
-// to the end; the lock is held. It reuses the memory of an old list.
+// to the end. The caller must hold b.mu. It reuses the memory of list.
 func (b *Balancer) resolveTargets(list []*targetState, loads []shelfshelf.TargetLoad) []*targetState {
 	list = list[:0]
 	for i, load := range loads {
@@ -108,8 +108,8 @@
 	return list
 }
 
-// dropStaleReports drops the loads of instances that have sent no report for a long time; the lock
-// is held.
+// dropStaleReports drops the loads of instances that have sent no report for a long time. The
+// caller must hold b.mu.
 func (b *Balancer) dropStaleReports(now time.Time) {
 	for from, reported := range b.peerTargets {
 		stale := true
--- a/balance/owner_only.go
+++ b/balance/owner_only.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// silentOwnerBackoff is how long the owner of a target with a limit is not asked again after it
-	// has failed to answer. Each ask costs a request up to 40 ms, and the owner stays responsible
-	// for the target until the other instances no longer hear from it.
-	silentOwnerBackoff = 250 * time.Millisecond
-	// minAskInterval keeps a waiting request from asking an owner in a busy loop.
-	minAskInterval = time.Millisecond
+	// unresponsiveOwnerBackoff is how long the owner of an owner-only target is not asked again
+	// after it has failed to answer. Each attempt costs a request up to 40 ms, and the owner stays
+	// responsible for the target as long as the other instances hear from it.
+	unresponsiveOwnerBackoff = 250 * time.Millisecond
+	// minRetryInterval keeps a waiting request from asking owners in a busy loop.
+	minRetryInterval = time.Millisecond
 )
 
 // hasLimit reports whether the target has announced a limit, as far as this instance knows.
@@ -52,13 +52,14 @@
 	}
 }
 
-// loadAnnouncement reads what a target has announced about itself; the lock is held.
+// loadAnnouncement reads what a target has announced about itself. The caller must hold b.mu.
 func (b *Balancer) loadAnnouncement(t *targetState) {
 	if b.Announced == nil {
 		return
 	}
 	t.announcement = b.Announced.Said(t.key)
-	// The target's entry may say so later than its answers, or never if the store is unavailable.
+	// The target's entry may show the leaving later than its answers do, or never if the store is
+	// unavailable.
 	t.target.Leaving = t.target.Leaving || t.announcement.Leaving
 	if !t.ownerOnly() {
 		t.askOwnerAfter = time.Time{}
@@ -75,16 +76,16 @@
 	return "", false
 }
 
-// acquireService waits for a slot at a plain service. Its targets need no owner, except for the
-// owner-only ones, whose slots one instance grants for all.
+// acquireService waits for a slot at a plain service. Only the owner-only targets among its targets
+// need a grant of their owner.
 func (b *Balancer) acquireService(ctx context.Context, need Need) (lease *Lease, err error) {
 	a := b.newOwnerAcquisition(need)
 	some, all := a.ownerOnlyTargets()
 	if !some {
 		return b.acquireLocally(ctx, need)
 	}
-	defer func() { a.leaveQueues(lease != nil) }()
-	lease = a.askUntilGranted(ctx, a.chooseIfOwnerOnly)
+	defer func() { a.withdrawAll(lease != nil) }()
+	lease = a.requestUntilGranted(ctx, a.chooseIfOwnerOnly)
 	switch {
 	case lease != nil:
 		return lease, nil
@@ -103,7 +104,8 @@
 }
 
 // retryAfter returns the retry delay for a refused caller. If all targets that may serve the
-// request are owner-only, it is not before one of them may have a free slot.
+// request are owner-only, the delay lasts at least until one of them may have a free slot, up to
+// maxRetryAfter.
 func (a *ownerAcquisition) retryAfter() time.Duration {
 	after := a.balancer.refusalRetryAfter(a.need)
 	if !a.allOwnerOnly() {
@@ -132,25 +134,28 @@
 	return some, some && all
 }
 
-// askUntilGranted asks the owners of the targets that choose returns, one after the other.
-func (a *ownerAcquisition) askUntilGranted(ctx context.Context, choose func() *targetState) *Lease {
-	for range maxOwnerAsks {
+// requestUntilGranted asks the owners of the targets that choose returns for a slot, one after the
+// other, until one grants it.
+func (a *ownerAcquisition) requestUntilGranted(ctx context.Context, choose func() *targetState) *Lease {
+	for range maxSlotRequests {
 		t := choose()
 		if t == nil {
 			return nil
 		}
-		if lease := a.ask(ctx, t); lease != nil || ctx.Err() != nil {
+		if lease := a.requestSlot(ctx, t); lease != nil || ctx.Err() != nil {
 			return lease
 		}
 	}
 	return nil
 }
 
-// chooseIfOwnerOnly returns an owner-only target of a plain service whose cost is within the safe
-// share of the goal; otherwise the best target if that is owner-only. Owner-only targets within the
-// safe share come first even if others cost less: each of 36 instances observes a target with 1.5
-// requests per second only every 24 s, so a single slow answer kept it below its rate for long (2
-// to 4 of 12 requests, simulated).
+// chooseIfOwnerOnly returns the best owner-only target of a plain service whose cost is within the
+// safe share of the goal. If there is none, it returns the best of all targets that may have a free
+// slot, or nil if that one is not owner-only.
+//
+// Owner-only targets within the safe share come first even if others cost less: at a limit of 1.5
+// requests per second, each of 36 instances observes the target only every 24 s, so a single slow
+// answer would keep the target below its limit for long (it got 2 to 4 of 12 requests, simulated).
 func (a *ownerAcquisition) chooseIfOwnerOnly() *targetState {
 	safe := time.Duration(safeGoalShare * float64(a.need.Goal))
 	best := a.chooseBest(func(t *targetState, now time.Time) bool {
@@ -169,20 +174,20 @@
 	return best
 }
 
-// chooseRetry returns the best of the owner-only targets that a waiting request asks again.
+// chooseRetry returns the best of the owner-only targets whose owners a waiting request asks again.
 func (a *ownerAcquisition) chooseRetry() *targetState {
 	return a.chooseAndMark(func(t *targetState) bool { return a.retriable(t) })
 }
 
 // retriable reports whether a waiting request asks for a slot at a target again once one may be
-// free: always at a target with a limit, and at one that may turn cold only while the request is in
-// no queue. Targets in whose queue it already waits are skipped.
+// free. It does so unless it is queued there: at a target with a limit in any case, and at one that
+// may turn cold only while the request is in no queue at all.
 func (a *ownerAcquisition) retriable(t *targetState) bool {
-	return (t.hasLimit() || t.ownerOnly() && len(a.queuedAsks) == 0) && !a.queuedAt(t)
+	return (t.hasLimit() || t.ownerOnly() && len(a.queuedRequests) == 0) && !a.queuedAt(t)
 }
 
 func (a *ownerAcquisition) queuedAt(t *targetState) bool {
-	for _, other := range a.queuedAsks {
+	for _, other := range a.queuedRequests {
 		if other == t {
 			return true
 		}
@@ -198,7 +203,7 @@
 		return nil
 	}
 	now := a.balancer.Clock.Now()
-	return a.balancer.Clock.After(max(soonest.Sub(now), minAskInterval))
+	return a.balancer.Clock.After(max(soonest.Sub(now), minRetryInterval))
 }
 
 // timeUntilRetry is how long it takes until an owner-only target may have a free slot; 0 if there
@@ -211,8 +216,8 @@
 	return soonest.Sub(a.balancer.Clock.Now())
 }
 
-// nextRetryAt returns when the first of the owner-only targets that a waiting request asks again
-// may be asked; zero if there is no such target.
+// nextRetryAt returns when a waiting request may ask again for a slot at one of the retriable
+// targets; zero if there is no such target.
 func (a *ownerAcquisition) nextRetryAt() time.Time {
 	b := a.balancer
 	b.mu.Lock()
@@ -234,11 +239,11 @@
 	return soonest
 }
 
-// skipSilentOwner gives up an ask of an owner-only target whose owner doesn't answer, and backs off
-// from the target for a while.
-func (a *ownerAcquisition) skipSilentOwner(t *targetState, id shelfshelf.PlaceID) *Lease {
+// skipUnresponsiveOwner withdraws a slot request for an owner-only target whose owner doesn't
+// answer, and does not ask that owner again for unresponsiveOwnerBackoff.
+func (a *ownerAcquisition) skipUnresponsiveOwner(t *targetState, id shelfshelf.PlaceID) *Lease {
 	a.unavailable++
 	a.balancer.Places.Leave(id, false)
-	a.balancer.recordBackoff(t, silentOwnerBackoff)
+	a.balancer.recordBackoff(t, unresponsiveOwnerBackoff)
 	return nil
 }
--- a/balance/owners.go
+++ b/balance/owners.go
@@ -9,11 +9,12 @@
 )
 
 const (
-	// maxOwnerAsks is how many engines a request asks for a slot; it takes the first slot granted.
+	// maxSlotRequests is how many engines a request asks for a slot; it takes the first slot granted.
 	// Waiting in several queues gets a slot sooner than waiting in one.
-	maxOwnerAsks = 8
-	// maxUnavailable is how many further engines may be found unavailable. A quarter of all engines
-	// may have crashed at once, and they look best because they run nothing.
+	maxSlotRequests = 8
+	// maxUnavailable is how many engines may turn out to be unavailable before a request asks no
+	// more of them; they don't count towards maxSlotRequests. A quarter of all engines may have
+	// crashed at once, and they look best because they run nothing.
 	maxUnavailable = 24
 	// ownerLoadTTL is how long the load reported by an owner takes precedence over the loads that
 	// the instances report, which are 0.1 to 0.4 s old.
@@ -26,12 +27,12 @@
 	need     Need
 	granted  chan shelfshelf.PlaceID
 	tried    []*targetState
-	// nextAsk is the message for the owner of the engine chosen last. It is built when the engine
-	// is chosen, since the engine's entry may be replaced while its owner is asked.
-	nextAsk shelfshelf.PlaceAsk
-	// queuedAsks are the queues that the request waits in, as far as is known: some owners may not
-	// have answered yet.
-	queuedAsks map[shelfshelf.PlaceID]*targetState
+	// nextRequest is the slot request for the owner of the engine chosen last. It is built when the
+	// engine is chosen, since the engine's entry may be replaced while its owner is asked.
+	nextRequest shelfshelf.PlaceAsk
+	// queuedRequests maps the slot requests that wait in the queue of an owner to their targets.
+	// Some owners may not have answered yet, so that the request may be in their queue or not.
+	queuedRequests map[shelfshelf.PlaceID]*targetState
 	// answered counts the owners that granted a slot or queued the request, unavailable the engines
 	// that accept nothing at the moment.
 	answered    int
@@ -40,10 +41,10 @@
 
 func (b *Balancer) newOwnerAcquisition(need Need) *ownerAcquisition {
 	return &ownerAcquisition{
-		balancer:   b,
-		need:       need,
-		granted:    make(chan shelfshelf.PlaceID, maxOwnerAsks),
-		queuedAsks: make(map[shelfshelf.PlaceID]*targetState),
+		balancer:       b,
+		need:           need,
+		granted:        make(chan shelfshelf.PlaceID, maxSlotRequests),
+		queuedRequests: make(map[shelfshelf.PlaceID]*targetState),
 	}
 }
 
@@ -51,8 +52,8 @@
 // in the queues of those that are full.
 func (b *Balancer) acquireFromOwners(ctx context.Context, need Need) (lease *Lease, err error) {
 	a := b.newOwnerAcquisition(need)
-	defer func() { a.leaveQueues(lease != nil) }()
-	for len(a.tried)-a.unavailable < maxOwnerAsks && a.unavailable < maxUnavailable {
+	defer func() { a.withdrawAll(lease != nil) }()
+	for len(a.tried)-a.unavailable < maxSlotRequests && a.unavailable < maxUnavailable {
 		if len(a.tried) > 0 && !b.Clock.Now().Before(need.WaitUntil) {
 			// Owners that don't answer have used up the time.
 			break
@@ -61,7 +62,7 @@
 		if t == nil {
 			break
 		}
-		if lease := a.ask(ctx, t); lease != nil {
+		if lease := a.requestSlot(ctx, t); lease != nil {
 			return lease, nil
 		}
 		if ctx.Err() != nil {
@@ -99,7 +100,8 @@
 	return best
 }
 
-// chooseBest returns the best available target that fits accepts, and builds the ask for its owner.
+// chooseBest returns the best available target that fits accepts, and builds the slot request for
+// its owner.
 func (a *ownerAcquisition) chooseBest(fits func(t *targetState, now time.Time) bool) *targetState {
 	b := a.balancer
 	b.mu.Lock()
@@ -114,7 +116,7 @@
 		return t.available(a.need, now) && fits(t, now)
 	})
 	if best != nil {
-		a.nextAsk = shelfshelf.PlaceAsk{
+		a.nextRequest = shelfshelf.PlaceAsk{
 			Target:     best.key,
 			DataCentre: best.target.DataCentre,
 			Begun:      a.need.Begun,
@@ -123,17 +125,17 @@
 			Stay:       p.expectHoldTime(best, a.need, b.uncachedTokens(best, a.need, now), now),
 			Wait:       max(a.need.WaitUntil.Sub(now), 0),
 			Said:       best.announcement,
-			Strict:     best.firstOwnerOnly(now),
+			Strict:     best.primaryOwnerOnly(now),
 		}
 	}
 	return best
 }
 
-// ask asks the owner of one engine for a slot; if nobody owns the engine, this instance decides
-// alone.
-func (a *ownerAcquisition) ask(ctx context.Context, t *targetState) *Lease {
+// requestSlot asks the owner of one engine for a slot; if nobody owns the engine, this instance
+// decides by its own view of the load.
+func (a *ownerAcquisition) requestSlot(ctx context.Context, t *targetState) *Lease {
 	b := a.balancer
-	answer := b.Places.Ask(ctx, a.nextAsk, a.granted)
+	answer := b.Places.Ask(ctx, a.nextRequest, a.granted)
 	switch answer.Outcome {
 	case shelfshelf.PlaceGranted:
 		a.answered++
@@ -142,23 +144,23 @@
 	case shelfshelf.PlaceWaits:
 		a.answered++
 		b.recordOwnerLoad(t, answer.Requests)
-		a.queuedAsks[answer.ID] = t
+		a.queuedRequests[answer.ID] = t
 		return nil
 	case shelfshelf.PlaceUnanswered:
-		if a.nextAsk.Strict {
-			return a.skipSilentOwner(t, answer.ID)
+		if a.nextRequest.Strict {
+			return a.skipUnresponsiveOwner(t, answer.ID)
 		}
-		a.queuedAsks[answer.ID] = t
+		a.queuedRequests[answer.ID] = t
 		return nil
 	case shelfshelf.PlaceRests:
-		// The ask is in no queue and doesn't count as answered. If it did, a request that no other
-		// owner answers would wait for nothing.
+		// The slot request is in no queue and doesn't count as answered. If it did, a request that
+		// no other owner answers would wait in no queue until it is refused.
 		a.unavailable++
 		b.recordBackoff(t, answer.Rest)
 		return nil
 	case shelfshelf.PlaceUnknown:
 		if t.ownerOnly() {
-			return a.skipSilentOwner(t, answer.ID)
+			return a.skipUnresponsiveOwner(t, answer.ID)
 		}
 	}
 	return a.grantLocally(t)
@@ -208,22 +210,22 @@
 	for {
 		select {
 		case id := <-a.granted:
-			t, queued := a.queuedAsks[id]
+			t, queued := a.queuedRequests[id]
 			if !queued {
-				// The ask was given up just before it was granted.
+				// The slot request was withdrawn just before it was granted.
 				continue
 			}
-			delete(a.queuedAsks, id)
+			delete(a.queuedRequests, id)
 			if lease := a.acceptGrant(t, id); lease != nil {
 				return lease, nil
 			}
-			// The target has started to leave or to back off since the request was queued there.
-			// Other targets may be available.
-			if lease := a.askUntilGranted(ctx, a.chooseUnqueued); lease != nil {
+			// The target has started to leave, or has requested a backoff, since the request was
+			// queued there. Other targets may be available.
+			if lease := a.requestUntilGranted(ctx, a.chooseUnqueued); lease != nil {
 				return lease, nil
 			}
 		case <-a.retryTimer():
-			if lease := a.askUntilGranted(ctx, a.chooseRetry); lease != nil {
+			if lease := a.requestUntilGranted(ctx, a.chooseRetry); lease != nil {
 				return lease, nil
 			}
 		case <-ctx.Done():
@@ -234,15 +236,15 @@
 	}
 }
 
-// leaveQueues removes the request from the queues in which it still waits, and tells their owners
-// whether it has got a slot.
-func (a *ownerAcquisition) leaveQueues(served bool) {
-	for id := range a.queuedAsks {
+// withdrawAll withdraws the slot requests that still wait, and tells their owners whether the
+// request has got a slot.
+func (a *ownerAcquisition) withdrawAll(served bool) {
+	for id := range a.queuedRequests {
 		a.balancer.Places.Leave(id, served)
 	}
 }
 
-// recordOwnerLoad records the load that an owner has reported for its engine.
+// recordOwnerLoad records the load that the owner of a target has reported.
 func (b *Balancer) recordOwnerLoad(t *targetState, requests int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -250,8 +252,8 @@
 	t.ownerLoadAt = b.Clock.Now()
 }
 
-// recordBackoff records for how long an engine accepts nothing according to its owner, or its owner
-// is not to be asked.
+// recordBackoff records for how long a target gets no requests according to its owner, or for how
+// long its owner is not to be asked.
 func (b *Balancer) recordBackoff(t *targetState, left time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -264,8 +266,8 @@
 	}
 }
 
-// Capacity returns the slots of an engine and its load as reported by the instances; false if the
-// engine is unknown.
+// Capacity returns the slots of a target and its load as reported by the instances; false if the
+// target is unknown.
 func (b *Balancer) Capacity(key shelfshelf.TargetKey) (slots, reported int, known bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/balance/owners_test.go
+++ b/balance/owners_test.go
@@ -13,29 +13,29 @@
 	"github.com/shelfshelf/shelfshelf/balance"
 )
 
-// fakeOwners answers asks as the test specifies.
+// fakeOwners answers slot requests as the test specifies.
 type fakeOwners struct {
-	mu      sync.Mutex
-	answers map[shelfshelf.TargetKey]shelfshelf.PlaceOutcome
-	asked   []shelfshelf.TargetKey
-	// holdTimes are the hold times given in the asks.
+	mu       sync.Mutex
+	outcomes map[shelfshelf.TargetKey]shelfshelf.PlaceOutcome
+	asked    []shelfshelf.TargetKey
+	// holdTimes are the hold times given in the slot requests.
 	holdTimes []time.Duration
 	grants    map[shelfshelf.TargetKey]func()
-	// grantOther sends another grant to the latest ask.
+	// grantOther sends a grant with another ID to the sender of the latest slot request.
 	grantOther func(shelfshelf.PlaceID)
 	open       map[shelfshelf.PlaceID]bool
 	lastID     shelfshelf.PlaceID
 	// backoff is the backoff that owners report for unavailable engines.
 	backoff time.Duration
-	// timeout is how long an ask takes that nobody answers.
+	// timeout is how long a slot request takes that nobody answers.
 	timeout time.Duration
 }
 
 func newFakeOwners() *fakeOwners {
 	return &fakeOwners{
-		answers: make(map[shelfshelf.TargetKey]shelfshelf.PlaceOutcome),
-		grants:  make(map[shelfshelf.TargetKey]func()),
-		open:    make(map[shelfshelf.PlaceID]bool),
+		outcomes: make(map[shelfshelf.TargetKey]shelfshelf.PlaceOutcome),
+		grants:   make(map[shelfshelf.TargetKey]func()),
+		open:     make(map[shelfshelf.PlaceID]bool),
 	}
 }
 
@@ -48,12 +48,12 @@
 	return b, o
 }
 
-func (o *fakeOwners) Ask(_ context.Context, ask shelfshelf.PlaceAsk, granted chan<- shelfshelf.PlaceID) shelfshelf.PlaceAnswer {
+func (o *fakeOwners) Ask(_ context.Context, request shelfshelf.PlaceAsk, granted chan<- shelfshelf.PlaceID) shelfshelf.PlaceAnswer {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.asked = append(o.asked, ask.Target)
-	o.holdTimes = append(o.holdTimes, ask.Stay)
-	outcome := o.answers[ask.Target]
+	o.asked = append(o.asked, request.Target)
+	o.holdTimes = append(o.holdTimes, request.Stay)
+	outcome := o.outcomes[request.Target]
 	if outcome == shelfshelf.PlaceUnknown {
 		time.Sleep(o.timeout)
 		return shelfshelf.PlaceAnswer{}
@@ -62,7 +62,7 @@
 	id := o.lastID
 	o.open[id] = true
 	o.grantOther = func(other shelfshelf.PlaceID) { granted <- other }
-	o.grants[ask.Target] = func() { granted <- id }
+	o.grants[request.Target] = func() { granted <- id }
 	return shelfshelf.PlaceAnswer{ID: id, Outcome: outcome, Requests: 1, Rest: o.backoff}
 }
 
@@ -84,7 +84,7 @@
 	o.Give(id, false)
 }
 
-// grantQueued grants the ask that is queued at an engine its slot.
+// grantQueued grants the slot request that is queued at an engine.
 func (o *fakeOwners) grantQueued(target shelfshelf.TargetName) {
 	o.mu.Lock()
 	grant := o.grants[shelfshelf.KeyOfTarget(target)]
@@ -92,7 +92,7 @@
 	grant()
 }
 
-// grantUnrequested sends the latest ask a grant that it didn't request.
+// grantUnrequested sends the sender of the latest slot request a grant that it didn't request.
 func (o *fakeOwners) grantUnrequested(id shelfshelf.PlaceID) {
 	o.mu.Lock()
 	grant := o.grantOther
@@ -100,7 +100,7 @@
 	grant(id)
 }
 
-// countOpen returns how many slots are held or asked for.
+// countOpen returns how many slots are held or requested.
 func (o *fakeOwners) countOpen() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -108,11 +108,12 @@
 }
 
 func (o *fakeOwners) setOutcome(target string, outcome shelfshelf.PlaceOutcome) {
-	o.answers[shelfshelf.KeyOfTarget(shelfshelf.TargetName(target))] = outcome
+	o.outcomes[shelfshelf.KeyOfTarget(shelfshelf.TargetName(target))] = outcome
 }
 
-// An ask contains the expected hold time, computed from the sizes of the prompt and the answer.
-func TestAsksIncludeHoldTime(t *testing.T) {
+// A slot request contains the expected hold time, computed from the sizes of the prompt and the
+// answer.
+func TestSlotRequestsIncludeHoldTime(t *testing.T) {
 	b, o := newBalancerWithOwners(4, local)
 	o.setOutcome("t0", shelfshelf.PlaceGranted)
 	for _, sizes := range [][2]int{{100, 10}, {5000, 10}, {100, 1000}} {
@@ -162,18 +163,18 @@
 	b, o := newBalancerWithOwners(2, local)
 	for i := range 2 {
 		if lease := acquire(t, b, need(fmt.Sprint(i), 0)); !lease.Alone || lease.Asked != 1 {
-			t.Errorf("alone %v after %d asks", lease.Alone, lease.Asked)
+			t.Errorf("alone %v after %d slot requests", lease.Alone, lease.Asked)
 		}
 	}
 	if o.countOpen() != 2 || len(o.asked) != 2 {
-		t.Errorf("%d slots after %d asks", o.countOpen(), len(o.asked))
+		t.Errorf("%d slots after %d slot requests", o.countOpen(), len(o.asked))
 	}
 	if _, err := b.Acquire(context.Background(), need("x", 0)); err == nil {
 		t.Error("a third slot was granted")
 	}
 }
 
-// A slot granted at an engine that has begun to leave is returned.
+// A slot granted at an engine that has started to leave is returned.
 func TestSlotsAtLeavingEnginesAreReturned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b, o := newBalancerWithOwners(4, local)
@@ -250,8 +251,8 @@
 	})
 }
 
-// A grant of an abandoned ask is ignored.
-func TestGrantsOfAbandonedAsksAreIgnored(t *testing.T) {
+// A grant of a withdrawn slot request is ignored.
+func TestGrantsOfWithdrawnRequestsAreIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b, o := newBalancerWithOwners(4, local, local)
 		o.setOutcome("t0", shelfshelf.PlaceWaits)
@@ -266,7 +267,7 @@
 
 // Owners that don't answer cost a request no more than its time to wait: it is refused soon after,
 // or goes to a target with a free slot known to this instance.
-func TestSilentOwnersDontDelayRequests(t *testing.T) {
+func TestUnresponsiveOwnersDontDelayRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		centres := []shelfshelf.DataCentre{local, local, local, local, local, local, local, local}
 		b := newBalancer(1, centres...)
@@ -286,7 +287,7 @@
 	})
 }
 
-// The grant of an owner that answers late is accepted, and the other asks are given up.
+// The grant of an owner that answers late is accepted, and the other slot requests are withdrawn.
 func TestLateGrantsAreAccepted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b, o := newBalancerWithOwners(4, local, local)
@@ -299,24 +300,24 @@
 			t.Errorf("%s after %v", lease.Target.Name, time.Since(began))
 		}
 		if open := o.countOpen(); open != 1 {
-			t.Errorf("%d slots are held or asked for", open)
+			t.Errorf("%d slots are held or requested", open)
 		}
 	})
 }
 
-// If no owner has answered, the instance decides by its own view of the load, and the asks are
-// given up.
-func TestUnansweredAsksFallBackToLocalDecision(t *testing.T) {
+// If no owner has answered, the instance decides by its own view of the load, and the slot requests
+// are withdrawn.
+func TestUnansweredSlotRequestsFallBackToLocalDecision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b, o := newBalancerWithOwners(4, local, local)
 		o.setOutcome("t0", shelfshelf.PlaceUnanswered)
 		o.setOutcome("t1", shelfshelf.PlaceUnanswered)
 		lease := acquire(t, b, need("x", time.Second))
 		if !lease.Alone || lease.Asked != 2 {
-			t.Errorf("alone %v after %d asks", lease.Alone, lease.Asked)
+			t.Errorf("alone %v after %d slot requests", lease.Alone, lease.Asked)
 		}
 		if open := o.countOpen(); open != 1 {
-			t.Errorf("%d slots are held or asked for", open)
+			t.Errorf("%d slots are held or requested", open)
 		}
 	})
 }
@@ -346,7 +347,7 @@
 			}
 		}
 		if len(o.asked) != unavailable+2 {
-			t.Errorf("%d asks", len(o.asked))
+			t.Errorf("%d slot requests", len(o.asked))
 		}
 	})
 }
@@ -385,9 +386,10 @@
 	return b, o
 }
 
-// Long answers ask slower engines about as often as short ones do. They once asked only the fastest
-// eight of 160 engines, which all other requests ask too: on a high-load day 0.29 of the longest
-// tenth were served, against 0.75 of all requests.
+// Requests with long answers ask slower engines about as often as those with short ones do. They
+// once asked only the fastest eight of 160 engines, which all other requests ask too: on a
+// high-load day, of the tenth with the longest answers 0.29 were served, against 0.75 of all
+// requests.
 func TestLongAnswersAskAllKindsOfEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := func(tokens int) float64 {
@@ -413,7 +415,8 @@
 	})
 }
 
-// An answer that slow engines would finish too late asks only engines that finish it in time.
+// A request whose answer slow engines would finish too late asks only engines that finish it in
+// time.
 func TestAnswersAskEnginesThatEndInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b, o := newFullEngines(60)
--- a/balance/prefix_index.go
+++ b/balance/prefix_index.go
@@ -41,7 +41,8 @@
 	p.holders[part] = list
 }
 
-// cachedTokens estimates how many tokens at the start of a prompt a target has cached.
+// cachedTokens estimates how many tokens at the start of a prompt a target has cached. A target
+// that has the last part is assumed to have all parts before it.
 func (p *prefixIndex) cachedTokens(now time.Time, prompt []shelfshelf.PromptPart, target shelfshelf.TargetName) int {
 	if n := len(prompt); n > 0 && p.holds(now, prompt[n-1].ID, target) {
 		total := 0
--- a/balance/queue.go
+++ b/balance/queue.go
@@ -24,7 +24,7 @@
 	case <-ctx.Done():
 	case <-timeout:
 	}
-	b.leaveQueue(w)
+	b.removeFromQueue(w)
 	select {
 	case lease := <-w.granted:
 		// The grant arrived at the same moment.
@@ -40,7 +40,7 @@
 	return nil, &Refusal{Reason: shelfshelf.RefusedShed, RetryAfter: b.refusalRetryAfter(w.need)}
 }
 
-func (b *Balancer) leaveQueue(w *waiter) {
+func (b *Balancer) removeFromQueue(w *waiter) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if p := b.pools[w.need.Pool]; p != nil {
@@ -48,8 +48,8 @@
 	}
 }
 
-// retryAfter returns the retry delay for a refused caller. It has jitter: a shortage lasts some
-// seconds, and callers that all retry at the same time would cause it again.
+// retryAfter returns the retry delay for a refused caller. The delay is randomized: a shortage
+// lasts some seconds, and callers that all retry at the same time would cause the next one.
 func retryAfter(need Need) time.Duration {
 	after := time.Duration(retryAfterGoals * float64(need.Goal) * (retryAfterMinFactor + retryAfterJitter*rand.Float64()))
 	return min(max(after, minRetryAfter), maxRetryAfter)
@@ -71,7 +71,7 @@
 	p.queue = slices.Insert(p.queue, at, w)
 }
 
-// wakeDispatcher wakes the loop that dispatches queued requests; the lock is held.
+// wakeDispatcher wakes the loop that dispatches queued requests. The caller must hold b.mu.
 func (b *Balancer) wakeDispatcher() {
 	select {
 	case b.wakeupChannel() <- struct{}{}:
@@ -79,7 +79,7 @@
 	}
 }
 
-// wakeupChannel returns the channel that wakes the loop; the lock is held.
+// wakeupChannel returns the channel that wakes the loop. The caller must hold b.mu.
 func (b *Balancer) wakeupChannel() chan struct{} {
 	if b.wakeups == nil {
 		b.wakeups = make(chan struct{}, 1)
@@ -87,7 +87,7 @@
 	return b.wakeups
 }
 
-// hasQueued reports whether a request waits in a queue of this instance; the lock is held.
+// hasQueued reports whether a request waits in a queue of this instance. The caller must hold b.mu.
 func (b *Balancer) hasQueued() bool {
 	for _, p := range b.pools {
 		if len(p.queue) > 0 {
@@ -121,7 +121,7 @@
 	return a.Arrived.Compare(b.Arrived)
 }
 
-// dispatch grants slots to queued requests in order; the lock is held.
+// dispatch grants slots to queued requests in order. The caller must hold b.mu.
 func (b *Balancer) dispatch(p *pool, now time.Time) {
 	for len(p.queue) > 0 {
 		w := p.queue[0]
@@ -139,8 +139,8 @@
 	return b.dispatchLoop(ctx)
 }
 
-// dispatchLoop runs a timer only while requests are queued: with a permanent timer, 295 idle
-// instances woke 29,500 times per second in total.
+// dispatchLoop dispatches queued requests whenever it is woken. It runs a timer only while requests
+// are queued: with a permanent timer, 295 idle instances woke 29,500 times per second in total.
 func (b *Balancer) dispatchLoop(ctx context.Context) error {
 	b.mu.Lock()
 	woken := b.wakeupChannel()
@@ -169,6 +169,7 @@
 	}
 }
 
+// dispatchAll grants slots to the queued requests of all pools. The caller must hold b.mu.
 func (b *Balancer) dispatchAll(now time.Time) {
 	for _, p := range b.pools {
 		b.dispatch(p, now)
--- a/balance/restart_test.go
+++ b/balance/restart_test.go
@@ -20,7 +20,8 @@
 }
 
 // A target that restarts under its name has no load, no cached prompt and no backoff, and late
-// releases of leases of its previous process don't change that. State was once kept by name alone.
+// releases of leases of its previous incarnation don't change that. State was once kept by name
+// alone.
 func TestRestartedTargetGetsNewState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &balance.Balancer{Clock: clockwork.NewRealClock(), DataCentre: local}
@@ -51,9 +52,9 @@
 	})
 }
 
-// Entries of engines change while owners are asked for slots. An ask once read an entry that was
-// just being replaced and got a name mixed from both, which belongs to no engine. Run with the race
-// detector to see it.
+// Entries of engines change while owners are asked for slots. Building a slot request once read an
+// entry that was just being replaced and got a name mixed from both entries, which belongs to no
+// engine. Run with the race detector to see it.
 func TestTargetsChangeWhileOwnersAreAsked(t *testing.T) {
 	t.Parallel()
 	b, owners := newBalancerWithOwners(4, local, "b")
--- a/balance/speeds.go
+++ b/balance/speeds.go
@@ -15,7 +15,7 @@
 	observationTTL = 5 * time.Second
 )
 
-// recordPrefillRate records an observed prefill rate of a target; the lock is held.
+// recordPrefillRate records an observed prefill rate of a target. The caller must hold b.mu.
 func (b *Balancer) recordPrefillRate(t *targetState, rate float64, now time.Time) {
 	if !b.current(t) {
 		return
@@ -24,7 +24,7 @@
 	b.appendObservation(shelfshelf.TargetSpeed{Target: t.key, PrefillRate: rate})
 }
 
-// recordStep records an observed time per output token of a target; the lock is held.
+// recordStep records an observed time per output token of a target. The caller must hold b.mu.
 func (b *Balancer) recordStep(t *targetState, step time.Duration, now time.Time) {
 	if !b.current(t) {
 		return
@@ -33,10 +33,11 @@
 	b.appendObservation(shelfshelf.TargetSpeed{Target: t.key, Step: step})
 }
 
-// current reports whether a target still exists and has not restarted. Observations of a previous
-// process don't apply to its successor of the same name. The lock is held.
+// current reports whether a target is listed and has not restarted. Observations of a previous
+// incarnation don't apply to the next one. The caller must hold b.mu.
 func (b *Balancer) current(t *targetState) bool { return b.targetsByKey[t.key] == t }
 
+// appendObservation keeps an observation for the next status. The caller must hold b.mu.
 func (b *Balancer) appendObservation(speed shelfshelf.TargetSpeed) {
 	if len(b.observations) < maxObservations {
 		b.observations = append(b.observations, speed)
@@ -62,8 +63,8 @@
 	return observations
 }
 
-// HeardSpeeds records observations of another instance of this data centre like this instance's
-// own.
+// HeardSpeeds records observations of another instance of this data centre, as if this instance had
+// made them.
 func (b *Balancer) HeardSpeeds(speeds []shelfshelf.TargetSpeed) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -104,8 +105,8 @@
 }
 
 // mergeRemoteSpeeds uses another data centre's observations for targets that this one has not
-// observed recently; the lock is held. They don't count as recent observations here, or two data
-// centres would repeat them to each other forever.
+// observed recently. The caller must hold b.mu. They don't count as recent observations here, or
+// two data centres would repeat them to each other forever.
 func (b *Balancer) mergeRemoteSpeeds(speeds []shelfshelf.TargetSpeed, now time.Time) {
 	for _, speed := range speeds {
 		t := b.targetsByKey[speed.Target]
--- a/balance/target.go
+++ b/balance/target.go
@@ -12,7 +12,7 @@
 	// tokens per millisecond, and the time per output token.
 	defaultPrefillRate = 40.0
 	defaultStep        = 5 * time.Millisecond
-	// defaultCallTime is the same for a call of a plain service.
+	// defaultCallTime is assumed for a call of a plain service until one has been observed.
 	defaultCallTime = 30 * time.Millisecond
 	// observationWeight is the weight of one observation in a moving average.
 	observationWeight = 0.15
@@ -33,7 +33,7 @@
 	reportedLoadTTL = 1500 * time.Millisecond
 )
 
-// targetState is what this instance knows about one target.
+// targetState is what this instance knows about one target. It is protected by Balancer.mu.
 type targetState struct {
 	target shelfshelf.Target
 	key    shelfshelf.TargetKey
@@ -43,7 +43,7 @@
 	evacuated bool
 	// slots is how many requests the target runs at once.
 	slots int
-	// engine says that the target runs a model.
+	// engine says that the target is an engine, not a plain service.
 	engine bool
 
 	// local is the load of this instance.
@@ -84,7 +84,8 @@
 	coldRate  float64
 	coldUntil time.Time
 	// announcement is what the target has announced about itself. Until askOwnerAfter its owner is
-	// not asked, since the limit allows no further request before or the owner has not answered.
+	// not asked: it has answered that the target gets no further request before, or has not
+	// answered at all.
 	announcement  shelfshelf.TargetWord
 	askOwnerAfter time.Time
 }
@@ -143,8 +144,8 @@
 	}
 }
 
-// load returns the load of all instances: as reported by the owner if that is recent, else as reported
-// by the instances.
+// load returns the load of all instances, as reported by them. The number of requests is that
+// reported by the owner if that is recent.
 func (t *targetState) load(now time.Time) load {
 	sum := t.reportedLoad(now)
 	if now.Sub(t.ownerLoadAt) < ownerLoadTTL {
--- a/balance/version.go
+++ b/balance/version.go
@@ -56,7 +56,8 @@
 	return lease
 }
 
-// reportToRollouts reports the outcome of a request at its target's version; the lock is held.
+// reportToRollouts reports the outcome of a request at its target's version. The caller must hold
+// b.mu.
 func (b *Balancer) reportToRollouts(l *Lease, result Result, unused bool) {
 	switch {
 	case b.Rollouts == nil:
@@ -68,8 +69,9 @@
 	}
 }
 
-// attemptReport relates the times of a request to those of a typical target: the time to the first
-// answer with regard to the prompt tokens to prefill, the rest with regard to its length.
+// attemptReport returns the times of a request in relation to those of a typical target.
+// Report.First relates the time to the first token, or to a plain answer, to the time expected for
+// its prompt tokens; Report.Pace relates the time per output token. The caller must hold b.mu.
 func (l *Lease) attemptReport(result Result, now time.Time) shelfshelf.AttemptReport {
 	report := shelfshelf.AttemptReport{Route: l.need.Route, Failed: result.Failed}
 	if l.need.PromptTokens == 0 {
