--- a/places/backoff.go
+++ b/places/backoff.go
@@ -6,10 +6,11 @@
 
 const (
 	// minBackoff and maxBackoff bound how long a target gets no requests after a holder could not
-	// reach it. The time doubles whenever the probe after it fails too.
+	// reach it. The backoff doubles whenever the probe (the first request after it) fails too.
 	minBackoff = 250 * time.Millisecond
 	maxBackoff = 2 * time.Second
-	// probeTimeout is how long the probe has to fail. Connecting to a machine that is powered off is
+	// probeTimeout is the time within which the failure of a probe must be reported; a probe
+	// without a report by then counts as successful. Connecting to a machine that is powered off is
 	// abandoned after 150 ms, and the report to the owner takes some more.
 	probeTimeout = 200 * time.Millisecond
 	// distrustPeriod is how long a holder's failure reports are ignored after another holder has
@@ -17,9 +18,9 @@
 	distrustPeriod = 5 * time.Second
 )
 
-// backoff keeps requests away from a target that cannot be reached. Without it, each instance would
-// find out by itself: a crashed target runs no requests, so it looks best to all instances, and
-// each attempt costs a request 3 to 150 ms.
+// backoff keeps requests away from a target that cannot be reached. It is protected by Book.mu.
+// Without it, each instance would find out by itself: a crashed target runs no requests, so it
+// looks best to all instances, and each attempt costs a request 3 to 150 ms.
 type backoff struct {
 	// until is when the backoff ends, and duration how long it is; both are zero if there is none.
 	until    time.Time
@@ -52,15 +53,17 @@
 	b.until = now.Add(b.duration)
 }
 
-// recordAnswer ends the backoff if the probe has reached the target.
+// recordAnswer handles the release of a slot without a report of failure. If the slot was that of
+// the probe, the backoff ends.
 func (b *backoff) recordAnswer(key slotKey, now time.Time) {
 	if b.duration > 0 && !b.probedAt.IsZero() && key == b.probe {
 		b.end(now)
 	}
 }
 
-// end ends the backoff. If the probe of another holder has reached the target and nobody else
-// failed to, the reporter is distrusted for a while.
+// end ends the backoff after a successful probe. If the probe came from another holder than the
+// reporter, and no other holder has failed to reach the target, the reporter is distrusted for
+// distrustPeriod.
 func (b *backoff) end(now time.Time) {
 	distrusted := b.distrusted
 	if !b.confirmed && b.probe.holder != b.reporter {
--- a/places/book.go
+++ b/places/book.go
@@ -12,11 +12,11 @@
 
 const (
 	// warmUpPeriod is how long a new owner of a target also counts the load that other instances
-	// report for the target. Holders repeat what they hold once a second, so the owner knows all of
-	// it by then.
+	// report for the target. Holders send the list of their slots once a second, so the owner knows
+	// all of them by then.
 	warmUpPeriod = 1200 * time.Millisecond
-	// holderTimeout is how long a holder may stay silent before its slots count as free; it repeats
-	// them every syncPeriod.
+	// holderTimeout is how long a holder may stay silent before its slots count as free; it sends a
+	// sync every syncPeriod.
 	holderTimeout = 2500 * time.Millisecond
 	// syncGrace is the age up to which a slot is kept although its holder's list lacks it: the list
 	// may have been sent before the grant arrived.
@@ -33,14 +33,14 @@
 type Capacity struct {
 	// Slots is how many requests the target runs at once.
 	Slots int
-	// Told is how many requests the target runs according to the load reports that instances
-	// exchange; they lag a little.
+	// Told is how many requests the target runs according to the loads that instances report to
+	// each other, which lag a little.
 	Told int
 }
 
 // Pace limits the rate at which an owner may send requests to a target.
 type Pace struct {
-	// Paced reports whether there is a limit.
+	// Paced says that there is a limit.
 	Paced bool
 	// PerSecond is the limit; it is 0 if another instance owns the target.
 	PerSecond float64
@@ -58,21 +58,21 @@
 	// Pace returns the rate limit of this instance for a target; a nil function means that no target
 	// is limited.
 	Pace func(shelfshelf.TargetKey) Pace
-	// Grant tells a holder that its queued request was granted. It is called without the lock.
+	// Grant tells a holder that its queued request was granted. It is called without b.mu held.
 	Grant func(holder Holder, id shelfshelf.PlaceID, requests int)
 
 	mu        sync.Mutex
 	targets   map[shelfshelf.TargetKey]*targetState
 	lastHeard map[Holder]time.Time
-	// nextOpening is the earliest time at which a gate with queued requests opens, or zero if there
-	// is none. openingChanged signals that an earlier one was set.
+	// nextOpening is the earliest time at which the gate of a target with queued requests opens, or
+	// zero if there is none. openingChanged signals that an earlier one was set.
 	nextOpening    time.Time
 	openingChanged chan struct{}
 	// targetBySlot maps each held or requested slot to its target.
 	targetBySlot map[slotKey]shelfshelf.TargetKey
 }
 
-// targetState holds the slots and the queue of one target.
+// targetState holds the slots and the queue of one target. It is protected by Book.mu.
 type targetState struct {
 	createdAt time.Time
 	held      map[slotKey]time.Time
@@ -80,7 +80,8 @@
 	// fairness tracks how well requests of each length were served recently.
 	fairness lengthFairness
 	backoff  backoff
-	// gate limits the rate of sends to the target; nil if the rate is not limited.
+	// gate limits the rate of requests to the target: it is open while another one may be sent. It
+	// is nil if the rate is not limited.
 	gate *announced.Gate
 }
 
@@ -102,7 +103,8 @@
 	requests int
 }
 
-// Ask grants a slot or queues the request. A repeated request gets the same answer.
+// Ask grants a slot or queues the request. A duplicate of a request takes no second slot; its
+// answer says whether the request is granted or queued.
 func (b *Book) Ask(holder Holder, id shelfshelf.PlaceID, req shelfshelf.PlaceAsk) shelfshelf.PlaceAnswer {
 	b.mu.Lock()
 	now := b.Clock.Now()
@@ -113,14 +115,14 @@
 	s := b.stateOf(req.Target, now)
 	b.recordContact(holder, now)
 	key := slotKey{holder: holder, id: id}
-	_, repeated := b.targetBySlot[key]
+	_, duplicate := b.targetBySlot[key]
 	b.updateGate(req.Target, s, now)
-	if left := s.blockedFor(now); left > 0 && !repeated {
+	if left := s.blockedFor(now); left > 0 && !duplicate {
 		requests := len(s.held)
 		b.mu.Unlock()
 		return shelfshelf.PlaceAnswer{ID: id, Outcome: shelfshelf.PlaceRests, Requests: requests, Rest: left}
 	}
-	if !repeated {
+	if !duplicate {
 		b.targetBySlot[key] = req.Target
 		s.enqueue(queuedRequest{key: key, request: req, deadline: now.Add(req.Wait)})
 	}
@@ -160,8 +162,8 @@
 	b.releaseAndRecord(holder, id, (*backoff).recordUnreachable)
 }
 
-// releaseAndRecord frees a slot or withdraws a queued request. If the slot was held, it records the
-// outcome in the backoff state of the target.
+// releaseAndRecord frees a held slot, or withdraws a queued request. For a held slot it calls
+// record with the backoff state of the target.
 func (b *Book) releaseAndRecord(holder Holder, id shelfshelf.PlaceID, record func(*backoff, slotKey, time.Time)) {
 	b.mu.Lock()
 	now := b.Clock.Now()
@@ -183,15 +185,15 @@
 	b.sendGrants(grants)
 }
 
-// removeSlot deletes a held slot. The caller must hold the lock.
+// removeSlot deletes a held slot. The caller must hold b.mu.
 func (b *Book) removeSlot(s *targetState, key slotKey) {
 	delete(s.held, key)
 	delete(b.targetBySlot, key)
 }
 
-// Sync reconciles the table with the full list of slots that a holder has at targets it believes
-// this instance owns. Slots missing in the list are freed, and slots missing in the table are
-// added.
+// Sync reconciles the slot table with a holder's full list of the slots that it holds at targets
+// which it believes this instance owns. Slots missing in the list are freed, and slots missing in
+// the table are added.
 func (b *Book) Sync(holder Holder, held map[shelfshelf.PlaceID]shelfshelf.TargetKey) {
 	b.mu.Lock()
 	now := b.Clock.Now()
@@ -263,7 +265,7 @@
 	}
 }
 
-// recordContact stores when a holder was last heard. The caller must hold the lock.
+// recordContact stores when a holder was last heard from. The caller must hold b.mu.
 func (b *Book) recordContact(holder Holder, now time.Time) {
 	if b.lastHeard == nil {
 		b.lastHeard = make(map[Holder]time.Time)
@@ -271,7 +273,7 @@
 	b.lastHeard[holder] = now
 }
 
-// stateOf returns the state of a target and creates it if necessary. The caller must hold the lock.
+// stateOf returns the state of a target and creates it if necessary. The caller must hold b.mu.
 func (b *Book) stateOf(target shelfshelf.TargetKey, now time.Time) *targetState {
 	if b.targets == nil {
 		b.targets = make(map[shelfshelf.TargetKey]*targetState)
@@ -285,7 +287,8 @@
 	return s
 }
 
-// grantQueued grants free slots to queued requests. The caller must hold the lock.
+// grantQueued grants free slots to queued requests and returns the grants, which the caller sends
+// after it has released b.mu. The caller must hold b.mu.
 func (b *Book) grantQueued(target shelfshelf.TargetKey, s *targetState, now time.Time) []grant {
 	b.dropExpired(s, now)
 	if len(s.queue) == 0 {
@@ -314,7 +317,7 @@
 }
 
 // scheduleOpening sets nextOpening to the time at which the gate of a target with queued requests
-// opens, if that is earlier. The caller must hold the lock.
+// opens, if that is earlier. The caller must hold b.mu.
 func (b *Book) scheduleOpening(s *targetState, now time.Time) {
 	if s.gate == nil {
 		return
@@ -331,8 +334,8 @@
 	}
 }
 
-// openingChannel returns the channel that signals an earlier nextOpening. The caller must hold the
-// lock.
+// openingChannel returns the channel that signals an earlier nextOpening. The caller must hold
+// b.mu.
 func (b *Book) openingChannel() chan struct{} {
 	if b.openingChanged == nil {
 		b.openingChanged = make(chan struct{}, 1)
@@ -340,8 +343,8 @@
 	return b.openingChanged
 }
 
-// Opening returns the earliest time at which a gate with queued requests opens, or zero if there is
-// none, and a channel that signals an earlier one.
+// Opening returns the earliest time at which the gate of a target with queued requests opens, or
+// zero if there is none, and a channel that signals an earlier one.
 func (b *Book) Opening() (time.Time, <-chan struct{}) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -364,7 +367,7 @@
 }
 
 // updateGate creates, updates or removes the gate of a target according to its rate limit. The
-// caller must hold the lock.
+// caller must hold b.mu.
 func (b *Book) updateGate(target shelfshelf.TargetKey, s *targetState, now time.Time) {
 	if b.Pace == nil {
 		return
@@ -391,7 +394,7 @@
 }
 
 // dropExpired removes requests that have reached their deadline in the queue. The caller must hold
-// the lock.
+// b.mu.
 func (b *Book) dropExpired(s *targetState, now time.Time) {
 	s.queue = slices.DeleteFunc(s.queue, func(q queuedRequest) bool {
 		over := now.After(q.deadline)
@@ -414,7 +417,7 @@
 	return req, true
 }
 
-// availableSlots returns how many slots a request may take, without those reserved for higher
+// availableSlots returns how many slots are free for a request, without those reserved for higher
 // tiers.
 func (s *targetState) availableSlots(capacity Capacity, req shelfshelf.PlaceAsk, now time.Time) int {
 	taken := len(s.held)
@@ -433,12 +436,12 @@
 	s.queue = slices.Insert(s.queue, at, q)
 }
 
-// precedes defines the queue order: requests whose response has begun, then by rank, tier and
-// expected duration; equal ones in order of arrival. Requests of a length that is served too rarely
-// may be taken out of this order (lengthFairness.nextIndex). When slots are scarce, shortest first
-// serves 8% more requests of the middle kind and 10% more of the lowest kind in time, and as many
-// of the highest (medians of six runs of two high-load days, with the same seeds with and without
-// it).
+// precedes defines the queue order: requests that a target has already worked on first, then by
+// rank, tier and expected hold time; equal ones in order of arrival. Requests of a length that is
+// served too rarely may be taken out of this order (lengthFairness.nextIndex). When slots are
+// scarce, shortest first serves 8% more requests of the middle tier and 10% more of the lowest tier
+// in time, and as many of the highest (medians of six runs of two high-load days, with and without
+// it on the same seeds).
 func precedes(a, b shelfshelf.PlaceAsk) bool {
 	switch {
 	case a.Begun != b.Begun:
--- a/places/book_test.go
+++ b/places/book_test.go
@@ -47,7 +47,7 @@
 func TestSlotsAreGrantedOnce(t *testing.T) {
 	f := newBookFixture(2)
 	for id, want := range map[shelfshelf.PlaceID]shelfshelf.PlaceOutcome{1: shelfshelf.PlaceGranted} {
-		for range 2 { // a repeated request takes no second slot
+		for range 2 { // a duplicate request takes no second slot
 			if got := f.Ask(holder(1), id, requestFor(0, 0)); got.Outcome != want || got.Requests != 1 {
 				t.Errorf("%d: %+v", id, got)
 			}
@@ -69,8 +69,8 @@
 	}
 }
 
-// Queued requests are ordered by begun, rank, tier and arrival; those whose deadline has passed are
-// dropped.
+// Queued requests are ordered by begun, rank, tier, expected hold time and arrival; those whose
+// deadline has passed are dropped.
 func TestQueueOrder(t *testing.T) {
 	f := newBookFixture(1)
 	f.Ask(holder(1), 1, requestFor(0, 0))
@@ -98,14 +98,14 @@
 	}
 }
 
-// Within a tier the request with the shortest expected duration goes first, so that a slot serves
+// Within a tier the request with the shortest expected hold time goes first, so that a slot serves
 // more callers.
 func TestShorterRequestsGoFirst(t *testing.T) {
 	f := newBookFixture(1)
 	f.Ask(holder(1), 1, requestFor(0, 0))
-	for id, stay := range []time.Duration{3 * time.Second, time.Second, 2 * time.Second, time.Second} {
+	for id, holdTime := range []time.Duration{3 * time.Second, time.Second, 2 * time.Second, time.Second} {
 		req := requestFor(1, time.Minute)
-		req.Stay = stay
+		req.Stay = holdTime
 		f.Ask(holder(2), shelfshelf.PlaceID(10+id), req)
 	}
 	higher := requestFor(0, time.Minute)
@@ -121,8 +121,8 @@
 	}
 }
 
-// The last slot of a target is reserved for the highest tier and for requests whose response has
-// begun.
+// The last slot of a target is reserved for the highest tier and for requests that a target has
+// already worked on.
 func TestLastSlotIsReserved(t *testing.T) {
 	f := newBookFixture(4)
 	for id := range shelfshelf.PlaceID(3) {
@@ -138,8 +138,8 @@
 	}
 }
 
-// Slots missing in a holder's list are freed, and slots missing in the book are added. A slot that
-// was granted a moment ago may be missing in the list.
+// Slots missing in a holder's list are freed, and slots missing in the slot table are added. A slot
+// that was granted a moment ago may be missing in the list.
 func TestSyncReconcilesTheBook(t *testing.T) {
 	f := newBookFixture(5)
 	f.Ask(holder(1), 1, requestFor(0, 0))
@@ -152,8 +152,7 @@
 	}
 }
 
-// A new owner also counts the reported load of a target until the holders have repeated what they
-// hold.
+// A new owner also counts the reported load of a target until the holders have sent their syncs.
 func TestNewOwnersCountReportedLoad(t *testing.T) {
 	f := newBookFixture(3)
 	f.reported = 3
--- a/places/client.go
+++ b/places/client.go
@@ -17,7 +17,7 @@
 	// an answer usually takes some milliseconds. The request stays open after that: on a machine
 	// with a link of 10 Mbit/s, datagrams queue behind prompts for 40 to 150 ms.
 	answerTimeout = 40 * time.Millisecond
-	// syncPeriod is how often holders repeat the list of slots they hold.
+	// syncPeriod is how often holders send owners the list of the slots that they hold (a sync).
 	syncPeriod = time.Second
 	// trailingSyncs is how many syncs an owner still gets after the last contact with it. The slots
 	// that it granted may have been released to another owner, and the release message or one of the
@@ -33,8 +33,8 @@
 	// Self is this instance as the others see it.
 	Self Holder
 	Book *Book
-	// Candidates returns the instances of a data centre that may own targets, including this one if
-	// it runs there.
+	// Candidates returns the instances of a data centre that may own its targets, including this
+	// one if it runs there.
 	Candidates func(shelfshelf.DataCentre) []shelfshelf.Member
 	// Substitutes returns the instances that own the rate-limited targets of a data centre in which
 	// no instance runs; a nil function means that there are none.
@@ -66,8 +66,9 @@
 	granted chan<- shelfshelf.PlaceID
 }
 
-// Ask requests a slot from the owner of the target. An owner that is slow to answer remains the
-// owner: with a second one, the target would have two slot tables, each granting all of its slots.
+// Ask requests a slot from the owner of the target. An owner that answers within ownerTimeout
+// remains the owner, however late that is for the request: with a second one, the target would have
+// two slot tables, each granting all of its slots.
 func (c *Client) Ask(ctx context.Context, req shelfshelf.PlaceAsk, granted chan<- shelfshelf.PlaceID) shelfshelf.PlaceAnswer {
 	owner, found := c.ownerFor(req)
 	if !found {
@@ -130,7 +131,7 @@
 }
 
 // recordOwnerContact records an owner that must be sent the list of held slots. The caller must
-// hold the lock.
+// hold c.mu.
 func (c *Client) recordOwnerContact(owner netip.AddrPort) {
 	if c.recentOwners == nil {
 		c.recentOwners = make(map[netip.AddrPort]int)
@@ -138,12 +139,14 @@
 	c.recentOwners[owner] = trailingSyncs
 }
 
-// Took records a slot that was taken without the consent of an owner. The next sync reports it.
+// Took records a slot that was taken without a grant by an owner. The next sync reports it to the
+// owner.
 func (c *Client) Took(target shelfshelf.TargetKey, dataCentre shelfshelf.DataCentre) shelfshelf.PlaceID {
 	return c.register(&slot{target: target, dataCentre: dataCentre, held: true})
 }
 
-// Give releases a slot. If the target was unreachable, its owner starts a backoff.
+// Give releases a slot. If the target was unreachable, its owner starts a backoff for all
+// instances.
 func (c *Client) Give(id shelfshelf.PlaceID, unreachable bool) {
 	owner := c.forget(id)
 	switch {
@@ -217,8 +220,9 @@
 	return true
 }
 
-// deliverGrant sends a slot to the granted channel. It must not block, since the lock is held: the
-// channel may be full if its receiver is giving up its requests at this moment.
+// deliverGrant sends a slot to the granted channel. The caller must hold c.mu, so the send must not
+// block: the channel may be full if its receiver is withdrawing its requests at this moment. It
+// reports whether the slot was delivered.
 func (c *Client) deliverGrant(s *slot, id shelfshelf.PlaceID) bool {
 	select {
 	case s.granted <- id:
--- a/places/client_test.go
+++ b/places/client_test.go
@@ -57,8 +57,8 @@
 	})
 }
 
-// An owner whose answers are late stays the owner: with a second one, a target would get more
-// requests than it has slots.
+// An owner whose answers arrive after answerTimeout stays the owner: with a second one, a target
+// would get more requests than it has slots.
 func TestSlowOwnersStayOwners(t *testing.T) {
 	inNetwork(t, 4, func(ctx context.Context, net *network) {
 		net.setDelay(40 * time.Millisecond)
@@ -77,8 +77,8 @@
 	})
 }
 
-// A slot that is granted after its request timed out is delivered like one from the queue, and can
-// be released.
+// A slot that is granted after answerTimeout is delivered like one from the queue, and can be
+// released.
 func TestLateGrantsAreDelivered(t *testing.T) {
 	inNetwork(t, 2, func(ctx context.Context, net *network) {
 		granted := make(chan shelfshelf.PlaceID, 1)
@@ -165,7 +165,7 @@
 }
 
 // An instance grants itself a slot while the owner is skipped. Once the owner is back and takes the
-// slot over, the slot is removed from the book of the first instance.
+// slot over, the slot is removed from the slot table of the first instance.
 func TestSlotsThatChangeOwnersAreFreed(t *testing.T) {
 	inNetwork(t, 2, func(ctx context.Context, net *network) {
 		granted := make(chan shelfshelf.PlaceID, 9)
@@ -191,8 +191,8 @@
 	})
 }
 
-// If no owner answers, the requester learns so soon. A slot that it takes by itself is reported
-// later.
+// If no owner answers, the requester learns that within answerTimeout. A slot that it takes without
+// a grant is reported by the next sync.
 func TestNoOwnerAnswers(t *testing.T) {
 	inNetwork(t, 3, func(ctx context.Context, net *network) {
 		requester := net.clients[addressOf(1)]
@@ -219,8 +219,8 @@
 	})
 }
 
-// A grant whose channel has no room is released and blocks nothing. It occurs when a request is
-// given up at the same moment.
+// A grant whose channel has no room is released and blocks nothing. This occurs when the request is
+// withdrawn at the same moment.
 func TestUnclaimedGrantsAreReleased(t *testing.T) {
 	inNetwork(t, 1, func(ctx context.Context, net *network) {
 		c := net.clients[addressOf(1)]
--- a/places/fairness.go
+++ b/places/fairness.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	// fairnessHalfLife is the half-life of the served ratios; an overload comes and goes within some
-	// seconds.
+	// fairnessHalfLife is the half-life of the counts behind the served shares; an overload comes
+	// and goes within some seconds.
 	fairnessHalfLife = 2 * time.Second
-	// minServedRatio is the served ratio of one length, relative to all requests of its group, below
-	// which requests of that length go first. Shortest first serves more requests in total, but
-	// without a correction hardly any of the longest ones: in a simulation at twice the capacity of
-	// the engines, 0.70 of all and 0.30 of the longest tenth were served without it, 0.60 and 0.43
-	// with it.
-	minServedRatio = 0.8
-	// minRequests is how many recent requests (decayed) a length needs before its served ratio is
-	// used.
-	minRequests = 2
+	// minRelativeShare is the served share of one length bucket, relative to that of all requests
+	// of its group, below which requests of that length go first. Shortest first serves more
+	// requests in total, but without a correction hardly any of the longest ones: in a simulation
+	// at twice the capacity of the engines, 0.70 of all and 0.30 of the longest tenth were served
+	// without it, 0.60 and 0.43 with it.
+	minRelativeShare = 0.8
+	// minOffered is how many recent requests (decayed) a length bucket needs for its served share
+	// to be meaningful.
+	minOffered = 2
 )
 
-// fairnessGroup identifies requests that differ in nothing but their length.
+// fairnessGroup identifies requests that are ordered by nothing but their length.
 type fairnessGroup struct {
 	rank int
 	tier shelfshelf.Tier
 }
 
-// lengthFairness tracks which share of the requests of each length bucket was served recently, at
-// this target or at another one that was asked at the same time.
+// lengthFairness tracks the served share of each length bucket: which share of its recent requests
+// got a slot, at this target or at another one that was asked at the same time.
 type lengthFairness struct {
 	groups map[fairnessGroup]map[int]*decay.Share
 }
@@ -39,7 +39,7 @@
 	return fairnessGroup{rank: req.Rank, tier: req.Tier}
 }
 
-// lengthBucket returns the power-of-two bucket of a request by its expected duration in
+// lengthBucket returns the power-of-two bucket of a request by its expected hold time in
 // milliseconds.
 func lengthBucket(req shelfshelf.PlaceAsk) int {
 	return bits.Len64(uint64(max(req.Stay.Milliseconds(), 0)))
@@ -69,7 +69,7 @@
 
 // nextIndex returns the index of the queued request to grant next: the first one, unless requests
 // of another length in its group were served too rarely. In that case it is the first request of
-// the length with the lowest served ratio.
+// the length with the lowest served share.
 func (l *lengthFairness) nextIndex(queue []queuedRequest, now time.Time) int {
 	first := queue[0].request
 	buckets := l.groups[groupOf(first)]
@@ -82,18 +82,18 @@
 		all.Offered += share.Offered
 		all.Served += share.Served
 	}
-	lowest := minServedRatio * all.Served / max(all.Offered, minRequests)
+	lowest := minRelativeShare * all.Served / max(all.Offered, minOffered)
 	chosen := 0
 	for i, q := range queue {
 		if q.request.Begun != first.Begun || groupOf(q.request) != groupOf(first) {
 			break
 		}
 		share := buckets[lengthBucket(q.request)]
-		if share == nil || share.Offered < minRequests {
+		if share == nil || share.Offered < minOffered {
 			continue
 		}
-		if ratio := share.Served / share.Offered; ratio < lowest {
-			chosen, lowest = i, ratio
+		if served := share.Served / share.Offered; served < lowest {
+			chosen, lowest = i, served
 		}
 	}
 	return chosen
--- a/places/network_test.go
+++ b/places/network_test.go
@@ -134,8 +134,8 @@
 	go func() { _ = c.Run(ctx) }()
 }
 
-// held returns the highest number of taken slots of a target in the book of any instance that is
-// alive.
+// held returns the highest number of taken slots of a target in the slot table of any instance that
+// is alive.
 func (net *network) held(target shelfshelf.TargetKey) int {
 	net.mu.Lock()
 	defer net.mu.Unlock()
--- a/places/overload_test.go
+++ b/places/overload_test.go
@@ -40,11 +40,11 @@
 	lastID    shelfshelf.PlaceID
 }
 
-// request is a request that asks targets for a slot.
+// request is a request that needs a slot at one of several targets.
 type request struct {
-	stay   time.Duration
-	asked  map[shelfshelf.PlaceID]int
-	served bool
+	holdTime time.Duration
+	asked    map[shelfshelf.PlaceID]int
+	served   bool
 }
 
 func newOverload(seed uint64) *overload {
@@ -72,12 +72,12 @@
 	}
 	// A token takes 4 ms. Answers have a median of 200 tokens and a mean of 466; the spread is that
 	// of the log of that day (see TestLongRequestsAreNotStarved).
-	meanStay := 0.004 * 200 * math.Exp(1.3*1.3/2)
-	interval := time.Duration(float64(time.Second) * meanStay / capacity / load)
+	meanHoldTime := 0.004 * 200 * math.Exp(1.3*1.3/2)
+	interval := time.Duration(float64(time.Second) * meanHoldTime / capacity / load)
 	var all []*request
 	for at := time.Duration(0); at < time.Minute; at += time.Duration(o.random.ExpFloat64() * float64(interval)) {
 		tokens := 200 * math.Exp(1.3*o.random.NormFloat64())
-		req := &request{stay: time.Duration(tokens * 4 * float64(time.Millisecond)), asked: make(map[shelfshelf.PlaceID]int)}
+		req := &request{holdTime: time.Duration(tokens * 4 * float64(time.Millisecond)), asked: make(map[shelfshelf.PlaceID]int)}
 		all = append(all, req)
 		o.at(at, func() { o.arrive(req) })
 	}
@@ -89,13 +89,13 @@
 	return all
 }
 
-// arrive asks the targets with the lowest cost; a long answer rather waits for a fast target.
+// arrive asks the targets with the lowest cost for a slot; long requests prefer fast targets.
 func (o *overload) arrive(req *request) {
 	costs := make([]float64, len(o.slowdowns))
 	order := make([]int, len(o.slowdowns))
 	for i := range order {
 		order[i] = i
-		costs[i] = 0.2*o.slowdowns[i]*req.stay.Seconds() + 0.3*o.random.Float64()
+		costs[i] = 0.2*o.slowdowns[i]*req.holdTime.Seconds() + 0.3*o.random.Float64()
 	}
 	slices.SortFunc(order, func(a, b int) int { return cmp.Compare(costs[a], costs[b]) })
 	for _, target := range order[:maxTargetsAsked] {
@@ -104,7 +104,7 @@
 		o.requests[o.lastID] = req
 		slotRequest := shelfshelf.PlaceAsk{
 			Target: shelfshelf.TargetKey(target), Tier: 1, Wait: queueTimeout,
-			Stay: time.Duration(float64(req.stay) * o.slowdowns[target]),
+			Stay: time.Duration(float64(req.holdTime) * o.slowdowns[target]),
 		}
 		if o.book.Ask(holder(1), o.lastID, slotRequest).Outcome == shelfshelf.PlaceGranted {
 			o.granted(o.lastID)
@@ -122,10 +122,10 @@
 		return
 	}
 	req.served = true
-	stay := time.Duration(float64(req.stay) * o.slowdowns[req.asked[id]])
+	holdTime := time.Duration(float64(req.holdTime) * o.slowdowns[req.asked[id]])
 	delete(req.asked, id)
 	o.after(0, func() { o.leave(req) })
-	o.after(stay, func() { o.book.Release(holder(1), id) })
+	o.after(holdTime, func() { o.book.Release(holder(1), id) })
 }
 
 // leave withdraws a request from all queues that it is still in.
@@ -179,16 +179,16 @@
 }
 
 // Long requests must not starve under overload. On a day of high load, 0.23 of the longest tenth of
-// one kind of request were served, and 0.59 of all: queues were ordered by expected duration,
-// shortest first, and nothing aged, so the longest requests were overtaken until their deadline. By
-// tenth of the expected length, the shortest first, attempts were served and refused ("no target:
-// shed") as follows:
+// one kind of request were served, and 0.59 of all: queues were ordered by expected hold time,
+// shortest first, and nothing aged, so the longest requests were overtaken until their deadline.
+// The numbers of attempts that were served and refused ("no target: shed"), by tenth of the
+// expected length, the shortest first:
 //
 //	served   355 235 236 193 139 139 128 110  80  86
 //	refused  128 240 255 281 315 330 341 358 388 384
 //
 // By tenth of the prompt length, all were served alike (161 to 188), which ruled out limits and
-// long prompts; of 5,570 attempts, 12 were broken off on their way.
+// long prompts; of 5,570 attempts, 12 were interrupted.
 func TestLongRequestsAreNotStarved(t *testing.T) {
 	t.Parallel()
 	for _, load := range []float64{1.1, 1.5, 2, 3} {
@@ -196,7 +196,7 @@
 			t.Run(fmt.Sprint("load ", load, " seed ", seed), func(t *testing.T) {
 				t.Parallel()
 				all := newOverload(seed).run(load)
-				slices.SortFunc(all, func(a, b *request) int { return cmp.Compare(a.stay, b.stay) })
+				slices.SortFunc(all, func(a, b *request) int { return cmp.Compare(a.holdTime, b.holdTime) })
 				longest, overall := servedShare(all[len(all)*9/10:]), servedShare(all)
 				t.Logf("%d requests, %.2f of all served, %.2f of the longest tenth", len(all), overall, longest)
 				if longest < overall/2 {
--- a/places/owner.go
+++ b/places/owner.go
@@ -20,8 +20,9 @@
 )
 
 // ownerFor returns the owner to ask for a slot: the highest-ranked instance that responds. A strict
-// request (the target has a rate limit or may be cold) goes to the primary owner only, even if it
-// does not respond: another one would allow the same number of sends again.
+// request (the target has a rate limit or may be cold) goes to the primary owner only, the
+// highest-ranked instance of all, even if that does not respond: any other owner would grant the
+// full rate again.
 func (c *Client) ownerFor(req shelfshelf.PlaceAsk) (netip.AddrPort, bool) {
 	if req.Strict {
 		return c.primaryOwner(req.Target, req.DataCentre)
@@ -36,7 +37,8 @@
 	return c.respondingOwnerLocked(target, dataCentre)
 }
 
-// primaryOwner returns the owner of a rate-limited target, whether it responds or not.
+// primaryOwner returns the highest-ranked owner of a target, whether it responds or not. If no
+// instance runs in the data centre, it is one of the Substitutes.
 func (c *Client) primaryOwner(target shelfshelf.TargetKey, dataCentre shelfshelf.DataCentre) (netip.AddrPort, bool) {
 	candidates := c.Candidates(dataCentre)
 	if len(candidates) == 0 && c.Substitutes != nil {
@@ -45,7 +47,7 @@
 	return highestScoring(candidates, target, func(netip.AddrPort) bool { return true })
 }
 
-// Owns reports whether this instance owns a rate-limited target.
+// Owns reports whether this instance is the primary owner of a target.
 func (c *Client) Owns(target shelfshelf.TargetKey, dataCentre shelfshelf.DataCentre) bool {
 	owner, found := c.primaryOwner(target, dataCentre)
 	return found && owner == c.Self.Address
@@ -79,16 +81,16 @@
 }
 
 // pendingAnswer tracks an owner that has not answered any request since the given time, that of the
-// first unanswered one. Requests sent by the owner itself do not end this state, since they still
-// arrive if the link is broken in the other direction only.
+// first unanswered one. Only answers end this state: other messages of the owner arrive even if the
+// link to it is broken.
 type pendingAnswer struct {
 	since time.Time
-	// logged says whether this was logged.
+	// logged says that the skipping of the owner was logged.
 	logged bool
 }
 
 // skipped reports whether an owner has been unresponsive for so long that the next-ranked instance
-// takes over. After ownerSkipPeriod it is tried again. The caller must hold the lock.
+// takes over. After ownerSkipPeriod it is tried again. The caller must hold c.mu.
 func (c *Client) skipped(owner netip.AddrPort, now time.Time) bool {
 	pending := c.pendingAnswers[owner]
 	if pending == nil {
@@ -99,7 +101,7 @@
 }
 
 // awaitAnswer records that an answer of an owner is due; this instance answers its own requests at
-// once. The caller must hold the lock.
+// once. The caller must hold c.mu.
 func (c *Client) awaitAnswer(owner netip.AddrPort) {
 	if owner == c.Self.Address {
 		return
--- a/places/wire.go
+++ b/places/wire.go
@@ -18,17 +18,17 @@
 type kind uint8
 
 const (
-	// kindRequest requests a slot.
+	// kindRequest is a slot request.
 	kindRequest kind = iota + 1
-	// kindAnswer answers a request: once immediately, and once more when a queued request is
+	// kindAnswer answers a slot request: once immediately, and once more when a queued request is
 	// granted.
 	kindAnswer
 	// kindRelease releases a slot.
 	kindRelease
 	// kindSync lists all slots that the sender holds at targets owned by the receiver.
 	kindSync
-	// kindWithdraw withdraws a queued request; its outcome says whether the request was granted a
-	// slot at another target.
+	// kindWithdraw withdraws a queued request; its outcome says whether a slot was granted at
+	// another target.
 	kindWithdraw
 	// kindUnreachable releases a slot of a target that could not be reached.
 	kindUnreachable
@@ -63,8 +63,8 @@
 		Requests      int
 		BackoffMillis int64
 		Held          []wireSlot
-		// Announcement holds what the sender of a request knows of the announcements of its target.
-		// Nearly all messages have none, which takes one byte of about 40.
+		// Announcement holds what the sender of a slot request knows of the announcements of its
+		// target. Nearly all messages have none, which takes one byte of about 40.
 		Announcement []announced.Wire
 	}
 	wireSlot struct {
@@ -140,7 +140,7 @@
 	return m, nil
 }
 
-// ceilMillis rounds up: a request repeated before the end of a backoff would be refused again.
+// ceilMillis rounds up: a request retried before the end of a backoff would be refused again.
 func ceilMillis(d time.Duration) int64 {
 	return int64((d + time.Millisecond - 1) / time.Millisecond)
 }
