--- a/balance/loads.go
+++ b/balance/loads.go
@@ -96,7 +96,7 @@
 }
 
 // resolveTargets returns the targets of the reported loads and moves the loads of unknown targets
-// to the end. The caller must hold b.mu. It reuses the memory of list.
+// to the end. It reuses the memory of list. The caller must hold b.mu.
 func (b *Balancer) resolveTargets(list []*targetState, loads []shelfshelf.TargetLoad) []*targetState {
 	list = list[:0]
 	for i, load := range loads {
--- a/balance/owner_only.go
+++ b/balance/owner_only.go
@@ -180,8 +180,8 @@
 }
 
 // retriable reports whether a waiting request asks for a slot at a target again once one may be
-// free. It does so unless it is queued there: at a target with a limit in any case, and at one that
-// may turn cold only while the request is in no queue at all.
+// free. If the request is queued at the target, it does not ask again. Otherwise it does: at a
+// target with a limit always, and at one that may turn cold only while it is in no queue at all.
 func (a *ownerAcquisition) retriable(t *targetState) bool {
 	return (t.hasLimit() || t.ownerOnly() && len(a.queuedRequests) == 0) && !a.queuedAt(t)
 }
--- a/balance/owners.go
+++ b/balance/owners.go
@@ -31,7 +31,7 @@
 	// engine is chosen, since the engine's entry may be replaced while its owner is asked.
 	nextRequest shelfshelf.PlaceAsk
 	// queuedRequests maps the slot requests that wait in the queue of an owner to their targets.
-	// Some owners may not have answered yet, so that the request may be in their queue or not.
+	// Those of owners that have not answered yet are included, whether they are queued or not.
 	queuedRequests map[shelfshelf.PlaceID]*targetState
 	// answered counts the owners that granted a slot or queued the request, unavailable the engines
 	// that accept nothing at the moment.
--- a/balance/prefix_index.go
+++ b/balance/prefix_index.go
@@ -16,7 +16,8 @@
 	holdersPerPart = 4
 )
 
-// prefixIndex remembers which targets have recently prefilled which prompt parts.
+// prefixIndex remembers which targets have recently prefilled which prompt parts. It is protected
+// by Balancer.mu.
 type prefixIndex struct {
 	holders map[string][]holder
 }
--- a/balance/shares.go
+++ b/balance/shares.go
@@ -33,7 +33,7 @@
 }
 
 // servedShares counts the recently served requests of each tier of a pool. Requests that were
-// refused to keep the order of tiers don't count.
+// refused to keep the order of tiers don't count. It is protected by Balancer.mu.
 type servedShares struct {
 	tiers map[shelfshelf.Tier]*decay.Share
 }
--- a/balance/speeds.go
+++ b/balance/speeds.go
@@ -105,8 +105,8 @@
 }
 
 // mergeRemoteSpeeds uses another data centre's observations for targets that this one has not
-// observed recently. The caller must hold b.mu. They don't count as recent observations here, or
-// two data centres would repeat them to each other forever.
+// observed recently. They don't count as recent observations here; otherwise two data centres would
+// report them to each other forever. The caller must hold b.mu.
 func (b *Balancer) mergeRemoteSpeeds(speeds []shelfshelf.TargetSpeed, now time.Time) {
 	for _, speed := range speeds {
 		t := b.targetsByKey[speed.Target]
--- a/places/owner.go
+++ b/places/owner.go
@@ -53,6 +53,7 @@
 	return found && owner == c.Self.Address
 }
 
+// respondingOwnerLocked is respondingOwner without locking. The caller must hold c.mu.
 func (c *Client) respondingOwnerLocked(target shelfshelf.TargetKey, dataCentre shelfshelf.DataCentre) (netip.AddrPort, bool) {
 	now := c.Clock.Now()
 	return highestScoring(c.Candidates(dataCentre), target, func(owner netip.AddrPort) bool { return !c.skipped(owner, now) })
--- a/quota/buckets.go
+++ b/quota/buckets.go
@@ -23,7 +23,8 @@
 	expireWhole bool
 }
 
-// newUsageBuckets returns buckets that hold usage up to the start of the newest bucket, which is empty.
+// newUsageBuckets returns buckets for usage by its age at the start of the newest bucket, which is
+// empty.
 func newUsageBuckets(use usageByAge) usageBuckets {
 	var b usageBuckets
 	copy(b[1:], use[:])
@@ -59,7 +60,7 @@
 	return startAge + float64(i-1), startAge + float64(i)
 }
 
-// fractionInWindow returns which fraction of the usage in bucket i is still in the window.
+// fractionInWindow returns which fraction of the usage in bucket i counts as still in the window.
 func (t bucketTimes) fractionInWindow(i int, now time.Time) float64 {
 	newest, oldest := t.ages(i, now)
 	switch {
--- a/quota/demand.go
+++ b/quota/demand.go
@@ -4,8 +4,8 @@
 
 const (
 	// sampleInterval is how often the usage of the other instances is sampled. Its growth is measured
-	// against the last sample but one, that is over one to two intervals: over a shorter time, a single
-	// large request would look like a rise in demand.
+	// against the last sample but one, that is over one to two sampleIntervals: over a shorter time, a
+	// single large request would look like a rise in demand.
 	sampleInterval = time.Second
 	// demandMargin multiplies the usage expected of the other instances until their next report. The
 	// margin is needed because requests arrive in bursts.
--- a/quota/demand_test.go
+++ b/quota/demand_test.go
@@ -115,7 +115,7 @@
 }
 
 // BenchmarkOwn measures Own with 520 customers at an instance that hears from 59 others: 4.6 ms when
-// every report takes a sample of the others' usage, 0.9 ms with one sample a second.
+// every call takes a sample of the others' usage, 0.9 ms with one sample a second.
 func BenchmarkOwn(b *testing.B) {
 	clock := clockwork.NewFakeClock()
 	l := &quota.Ledger{
@@ -125,15 +125,15 @@
 	}
 	l.Start()
 	clock.Advance(window)
-	var uses []shelfshelf.CustomerUse
+	var usage []shelfshelf.CustomerUse
 	for i := range 520 {
 		customer := limitedCustomer(1e6)
 		customer.Name = shelfshelf.CustomerName(fmt.Sprint(i))
 		l.Charge(customer, 1000)
-		uses = append(uses, shelfshelf.CustomerUse{Customer: shelfshelf.KeyOfCustomer(customer.Name), Amount: 1000})
+		usage = append(usage, shelfshelf.CustomerUse{Customer: shelfshelf.KeyOfCustomer(customer.Name), Amount: 1000})
 	}
 	for i := range 59 {
-		l.Heard(shelfshelf.Status{From: shelfshelf.Instance{ID: shelfshelf.InstanceID(fmt.Sprint(i))}, Uses: uses})
+		l.Heard(shelfshelf.Status{From: shelfshelf.Instance{ID: shelfshelf.InstanceID(fmt.Sprint(i))}, Uses: usage})
 	}
 	for b.Loop() {
 		clock.Advance(250 * time.Millisecond)
--- a/quota/doc.go
+++ b/quota/doc.go
@@ -2,9 +2,9 @@
 //
 // A limit is a rate and a burst: in any window, the usage may be up to the rate times the length of the
 // window, plus the burst. Each instance counts what a customer uses at itself and adds the usage that
-// the other instances report. Until their next reports, an instance admits what fits into the remaining
-// limit beside their expected usage, and otherwise no more than its even share of what remains. So all
-// instances together stay within the limit although each learns of the others' usage with a delay.
+// the other instances report. The reports come with a delay. Until the next ones, an instance admits a
+// request that fits into what remains of the limit after the usage expected of the other instances, or
+// into its own even share of what remains. So all instances together stay within the limit.
 //
 //	allowed 900, known usage 600, 6 instances: the even share is 50 until the next reports
 //
--- a/quota/keeper.go
+++ b/quota/keeper.go
@@ -15,8 +15,9 @@
 	saveInterval = time.Second
 	// checkInterval is how often the saving instance checks whether an earlier save is due.
 	checkInterval = 200 * time.Millisecond
-	// urgentFraction is the part of a customer's limit that may be used before an earlier save is due:
-	// a customer that sends many times its usual load uses half of its limit within a second.
+	// urgentFraction is the part of a customer's limit that may be used before a save is due earlier
+	// than saveInterval: a customer that sends many times its usual load uses half of its limit within
+	// a second.
 	urgentFraction = 0.08
 	// saveTimeout is the time limit of a save.
 	saveTimeout = 500 * time.Millisecond
@@ -24,8 +25,9 @@
 	loadRetryDelay = 300 * time.Millisecond
 )
 
-// Keeper saves the usage of customers and restores it at the start. After a restart of all instances,
-// usage is then neither forgotten nor has it to be assumed at its worst. Fields are set before Run.
+// Keeper saves the usage of customers and restores it at the start. So after a restart of all
+// instances, usage is not forgotten, and the whole limit need not be assumed used. Fields are set
+// before Run.
 type Keeper struct {
 	Clock  shelfshelf.Clock
 	Log    *log.Logger
@@ -49,8 +51,8 @@
 	return k.saveLoop(ctx)
 }
 
-// restore loads the saved usage. It retries until the first window is over: then the saved usage has
-// expired.
+// restore loads the saved usage. It retries until the first window is over, since the saved usage has
+// expired by then.
 func (k *Keeper) restore(ctx context.Context) {
 	for ctx.Err() == nil && !k.Ledger.Settled() {
 		saved, err := k.Store.LoadUses(ctx)
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -10,9 +10,9 @@
 const (
 	// defaultWindow is the length of the window that limits apply to if the settings give none.
 	defaultWindow = 8 * time.Second
-	// usableSlackFraction is the part of the slack that requests may use beyond the even share of their
-	// instance, divided by the number of instances. The rest is left for usage that the other instances
-	// learn of late.
+	// usableSlackFraction is the part of the slack that all instances together may admit beyond their
+	// even shares, each an equal part of it. The rest is left for usage that the other instances learn
+	// of late.
 	usableSlackFraction = 0.5
 	// maxUnsavedFraction is the largest part of a limit that is assumed used after the last save: a
 	// save is due once urgentFraction is used, and it takes up to checkInterval until this is noticed.
@@ -21,10 +21,10 @@
 	// addition to the estimate.
 	minUnsavedFraction = 0.02
 	// silenceTimeout is how long an instance may be silent before its usage is reported to others as
-	// that of an ended one, and before a digest of this data centre is no longer relied on.
+	// that of an ended one. A digest of this data centre that is older is not relied on.
 	silenceTimeout = time.Second
-	// singleRequestFraction is the part of the remaining limit that a single request may use on its
-	// own.
+	// singleRequestFraction is the part of the remaining limit that a single request may use, even
+	// beyond the even share, if nothing else is unreported.
 	singleRequestFraction = 0.25
 )
 
@@ -47,26 +47,27 @@
 	mu       sync.Mutex
 	start    time.Time
 	accounts map[shelfshelf.CustomerKey]*account
-	// peers are the other instances of this data centre, and remotes the other data centres.
-	peers   map[shelfshelf.InstanceID]*usageSnapshot
-	remotes map[shelfshelf.DataCentre]*usageSnapshot
+	// peers is the usage received from the other instances of this data centre, and remotes that from
+	// the other data centres.
+	peers   map[shelfshelf.InstanceID]*receivedUsage
+	remotes map[shelfshelf.DataCentre]*receivedUsage
 	// ownDigest is the usage in this data centre as reported by an instance that hears from all of it.
 	// It is nil where all instances hear from each other.
-	ownDigest *usageSnapshot
+	ownDigest *receivedUsage
 	// endedIncarnations are earlier incarnations of peers whose usage still counts.
-	endedIncarnations []*usageSnapshot
+	endedIncarnations []*receivedUsage
 	// saved is the usage before this instance started, by data centre. It is nil if it is not known.
-	saved map[shelfshelf.DataCentre]*usageSnapshot
+	saved map[shelfshelf.DataCentre]*receivedUsage
 	// restoreDone says that the saved usage is known, or that none was saved.
 	restoreDone bool
 }
 
-// account is what a customer has used at this instance, in the unit of its limit, and what was seen of
-// its demand elsewhere.
+// account is what a customer has used at this instance, in the unit of its limit, and an estimate of
+// its demand at the others. It is protected by Ledger.mu.
 type account struct {
 	tokens   bool
 	ownUsage slidingWindow
-	// lastReported is the own usage that was last reported to the other instances.
+	// lastReported is the own usage in the last status to the other instances.
 	lastReported float64
 	// allowed is the limit at the latest charge.
 	allowed float64
@@ -83,11 +84,12 @@
 	Allowed float64
 	Used    float64
 	Cost    float64
-	// Share is the part of the limit that may be admitted while some instances are not heard from.
+	// Share is the part of the limit that may be admitted: the share of the instances that are heard
+	// from.
 	Share float64
 	// Expected is what the other instances are expected to use before their next report. Resting says
-	// that this instance has refused the customer lately and admits only its even share of the
-	// remaining limit, whatever is expected.
+	// that this instance has refused the customer lately, and so admits no more than its even share (or
+	// one single large request), whatever is expected.
 	Expected float64
 	Resting  bool
 	// Entry identifies the charge for Refund and Move. It is empty if nothing was charged.
@@ -99,7 +101,8 @@
 	customer shelfshelf.CustomerKey
 	tokens   bool
 	cost     float64
-	slot     int64
+	// interval is the number of the window's interval in which the charge counts.
+	interval int64
 }
 
 // Start records when the instance begins to serve, and prepares the ledger for use.
@@ -111,8 +114,8 @@
 		l.Window = defaultWindow
 	}
 	l.accounts = make(map[shelfshelf.CustomerKey]*account)
-	l.peers = make(map[shelfshelf.InstanceID]*usageSnapshot)
-	l.remotes = make(map[shelfshelf.DataCentre]*usageSnapshot)
+	l.peers = make(map[shelfshelf.InstanceID]*receivedUsage)
+	l.remotes = make(map[shelfshelf.DataCentre]*receivedUsage)
 }
 
 // limit returns how much may be used in the window, and whether that is in tokens rather than requests.
@@ -157,21 +160,21 @@
 // charge records a cost as used now.
 func (a *account) charge(key shelfshelf.CustomerKey, cost float64) Entry {
 	a.ownUsage.add(a.ownUsage.newest, cost)
-	return Entry{customer: key, tokens: a.tokens, cost: cost, slot: a.ownUsage.newest}
+	return Entry{customer: key, tokens: a.tokens, cost: cost, interval: a.ownUsage.newest}
 }
 
 // Growth returns the largest part of its limit that any customer has used since the given time, at most
-// one window ago. It assumes that the other instances admit as much as this one.
+// one window ago, if the other instances have admitted as much as this one.
 func (l *Ledger) Growth(since time.Time) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	slot := l.Window / slotCount
+	intervalLength := l.Window / intervalCount
 	largest := 0.0
 	known, _ := l.Instances()
 	for _, a := range l.accounts {
 		if a.allowed > 0 {
-			a.ownUsage.advance(slotNumber(l.Clock.Now().Sub(l.start), l.Window))
-			recent := a.ownUsage.sumOfNewest(int64(l.Clock.Now().Sub(since) / slot))
+			a.ownUsage.advance(intervalNumber(l.Clock.Now().Sub(l.start), l.Window))
+			recent := a.ownUsage.sumOfNewest(int64(l.Clock.Now().Sub(since) / intervalLength))
 			largest = max(largest, recent*float64(max(known, 1))/a.allowed)
 		}
 	}
@@ -185,19 +188,20 @@
 	return l.Clock.Now().Sub(l.start) >= l.Window
 }
 
-// waitTime returns how long the customer has to wait; 0 means that the cost may be charged now.
+// waitTime returns how long the customer has to wait; 0 means that the cost may be charged now. The
+// caller must hold l.mu.
 //
 // A request is admitted if it fits into what remains after the usage that the other instances are
 // expected to have before their next report. Otherwise the remaining limit is shared evenly between the
-// instances until each has heard what the others used; a single request may then use a larger part of
-// it.
+// instances until the next reports; an instance without unreported usage may then admit a single
+// request that needs up to singleRequestFraction of it.
 //
 // With even shares only and a steady demand of 0.85 of the limit, requests of up to 40,000 tokens
 // were refused when as little as 0.73 of the limit was used at 78 instances, and 0.03 at 360. With this
 // rule none is refused below 0.95.
 func (l *Ledger) waitTime(a *account, v Verdict, instances float64, delay time.Duration) time.Duration {
-	slot := l.Window / slotCount
-	unreported := a.ownUsage.sumOfNewest(int64(delay/slot) + 1)
+	intervalLength := l.Window / intervalCount
+	unreported := a.ownUsage.sumOfNewest(int64(delay/intervalLength) + 1)
 	remaining := v.Allowed*v.Share - (v.Used - unreported)
 	evenShare := remaining/instances - unreported + l.Slack*usableSlackFraction/instances
 	withinSingle := unreported == 0 && v.Cost <= remaining*singleRequestFraction
@@ -206,13 +210,13 @@
 		return 0
 	}
 	if v.Cost <= remaining-unreported {
-		// Only the share of this instance is used up, until the next reports.
+		// Only the share of this instance is used up: retry after the next reports.
 		return delay
 	}
-	return time.Duration(a.ownUsage.slotsUntilFreed((v.Cost-(remaining-unreported))/instances)) * slot
+	return time.Duration(a.ownUsage.intervalsUntilFreed((v.Cost-(remaining-unreported))/instances)) * intervalLength
 }
 
-// estimateDemand sets the verdict's Expected and Resting. The caller holds the lock.
+// estimateDemand sets the verdict's Expected and Resting. The caller must hold l.mu.
 func (l *Ledger) estimateDemand(a *account, v *Verdict, delay time.Duration) {
 	now := l.Clock.Now()
 	others := v.Used - a.ownUsage.sum
@@ -230,11 +234,11 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.account(entry.customer, entry.tokens).ownUsage.add(entry.slot, -entry.cost)
+	l.account(entry.customer, entry.tokens).ownUsage.add(entry.interval, -entry.cost)
 }
 
-// Move makes a charge count from now on, the time its request is sent. Usage is meant to count from
-// when targets run a request, and the request may have waited since it was charged.
+// Move makes a charge count from now on, the time its request is sent, since the request may have
+// waited after it was charged. Usage counts from when a target runs the request.
 func (l *Ledger) Move(entry Entry) Entry {
 	if entry.cost == 0 {
 		return entry
@@ -242,7 +246,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(entry.customer, entry.tokens)
-	a.ownUsage.add(entry.slot, -entry.cost)
+	a.ownUsage.add(entry.interval, -entry.cost)
 	return a.charge(entry.customer, entry.cost)
 }
 
@@ -255,38 +259,39 @@
 }
 
 // account returns a customer's account with expired usage removed. It starts a new one if there is none
-// or the unit of the limit has changed. The caller holds the lock.
+// or the unit of the limit has changed. The caller must hold l.mu.
 func (l *Ledger) account(key shelfshelf.CustomerKey, tokens bool) *account {
 	a := l.accounts[key]
 	if a == nil || a.tokens != tokens {
 		a = &account{tokens: tokens}
 		l.accounts[key] = a
 	}
-	a.ownUsage.advance(slotNumber(l.Clock.Now().Sub(l.start), l.Window))
+	a.ownUsage.advance(intervalNumber(l.Clock.Now().Sub(l.start), l.Window))
 	return a
 }
 
-// Own returns what customers have used at this instance, for the next report to the other instances.
+// Own returns what customers have used at this instance, for its next status, and records it as
+// reported.
 func (l *Ledger) Own() []shelfshelf.CustomerUse {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var uses []shelfshelf.CustomerUse
+	var usage []shelfshelf.CustomerUse
 	for key, a := range l.accounts {
-		a.ownUsage.advance(slotNumber(l.Clock.Now().Sub(l.start), l.Window))
+		a.ownUsage.advance(intervalNumber(l.Clock.Now().Sub(l.start), l.Window))
 		if now := l.Clock.Now(); a.demand.sampleDue(now) {
 			a.demand.addSample(l.totalUsage(key, a)-a.ownUsage.sum, now)
 		}
 		a.lastReported = a.ownUsage.sum
 		if a.ownUsage.sum > 0 {
-			uses = append(uses, shelfshelf.CustomerUse{Customer: key, Amount: a.ownUsage.sum})
+			usage = append(usage, shelfshelf.CustomerUse{Customer: key, Amount: a.ownUsage.sum})
 		}
 	}
-	return uses
+	return usage
 }
 
-// Centre returns what customers have used in this data centre.
+// Centre returns what customers have used in this data centre, for its digest.
 func (l *Ledger) Centre() []shelfshelf.CustomerUse {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return customerUses(l.dataCentreTotals(l.Clock.Now()))
+	return customerUsage(l.dataCentreTotals(l.Clock.Now()))
 }
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -332,9 +332,9 @@
 
 // Usage at other instances counts as long as it is in the window, even if this instance's own usage
 // came at another time. The instance that saves the usage sees only one of 85 requests of a customer,
-// so it must not take its own distribution over time for that of the others.
+// so it must not assume that the others' usage is distributed over time like its own.
 func TestReportedUsageExpiresByAge(t *testing.T) {
-	for name, restart := range map[string]bool{"saved and recalled": true, "without a restart": false} {
+	for name, restart := range map[string]bool{"saved and restored": true, "without a restart": false} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(85)
 			const rate = 400000
@@ -397,7 +397,7 @@
 		}
 		l.Start()
 		time.Sleep(window)
-		store := &useStore{}
+		store := &usageStore{}
 		k := &quota.Keeper{Clock: l.Clock, Log: log.New(io.Discard), Ledger: l, Store: store, Due: func() bool { return true }}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -417,19 +417,19 @@
 	})
 }
 
-// useStore counts saves and keeps the latest one.
-type useStore struct {
+// usageStore counts saves and keeps the latest one.
+type usageStore struct {
 	saves int
 	last  []shelfshelf.SavedUse
 }
 
-func (s *useStore) SaveUses(_ context.Context, uses []shelfshelf.SavedUse) error {
+func (s *usageStore) SaveUses(_ context.Context, usage []shelfshelf.SavedUse) error {
 	s.saves++
-	s.last = uses
+	s.last = usage
 	return nil
 }
 
-func (s *useStore) LoadUses(context.Context) (shelfshelf.SavedUses, error) {
+func (s *usageStore) LoadUses(context.Context) (shelfshelf.SavedUses, error) {
 	return shelfshelf.SavedUses{}, shelfshelf.ErrNotFound
 }
 
@@ -457,7 +457,8 @@
 	return l
 }
 
-// exchangeStatuses delivers the report of every instance to every other.
+// exchangeStatuses delivers the status of every instance to the others in its data centre, and its
+// digest to those in other data centres.
 func (f *multiCentreFleet) exchangeStatuses() {
 	for id, from := range f.ledgers {
 		for other, to := range f.ledgers {
@@ -515,7 +516,7 @@
 
 // Where a data centre is too large for all instances to hear from each other often, the digest of an
 // instance that hears from all of them counts, less what this instance had reported. The peers' own
-// reports count where they are higher.
+// statuses count where their sum is higher.
 func TestDigestOfOwnDataCentreCounts(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	l := &quota.Ledger{
--- a/quota/saved.go
+++ b/quota/saved.go
@@ -12,17 +12,17 @@
 	defer l.mu.Unlock()
 	l.restoreDone = true
 	at := l.Clock.Now().Add(-saved.Age)
-	l.saved = make(map[shelfshelf.DataCentre]*usageSnapshot)
+	l.saved = make(map[shelfshelf.DataCentre]*receivedUsage)
 	for _, use := range saved.Uses {
 		s := l.saved[use.DataCentre]
 		if s == nil {
-			s = &usageSnapshot{
+			s = &receivedUsage{
 				bucketTimes: bucketTimes{newestStart: at, updatedAt: at, length: bucketLength(l.Window), expireWhole: true},
-				uses:        make(map[shelfshelf.CustomerKey]usageBuckets),
+				usage:       make(map[shelfshelf.CustomerKey]usageBuckets),
 			}
 			l.saved[use.DataCentre] = s
 		}
-		s.uses[use.Customer] = newUsageBuckets(use.Parts)
+		s.usage[use.Customer] = newUsageBuckets(use.Parts)
 	}
 }
 
@@ -41,8 +41,8 @@
 	return l.restoreDone || l.Clock.Now().Sub(l.start) >= l.Window
 }
 
-// Known returns the usage at all instances, for another instance that starts. The error is
-// ErrUnavailable if it is not known here yet, and ErrNotFound if none was saved.
+// Known returns the usage at all instances, for another instance that starts and restores it. The error
+// is ErrUnavailable if it is not known here yet, and ErrNotFound if none was saved.
 func (l *Ledger) Known() (shelfshelf.SavedUses, error) {
 	if !l.Recalled() {
 		return shelfshelf.SavedUses{}, shelfshelf.ErrUnavailable
@@ -61,34 +61,34 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.Clock.Now()
-	uses := appendSavedUses(nil, l.DataCentre, l.dataCentreTotals(now))
+	usage := appendSavedUsage(nil, l.DataCentre, l.dataCentreTotals(now))
 	others := maps.Clone(l.saved)
 	if others == nil {
-		others = make(map[shelfshelf.DataCentre]*usageSnapshot)
+		others = make(map[shelfshelf.DataCentre]*receivedUsage)
 	}
-	// Reports from another data centre take precedence over its saved usage.
+	// Digests of another data centre take precedence over its saved usage.
 	maps.Copy(others, l.remotes)
 	delete(others, l.DataCentre)
 	for centre, s := range others {
 		totals := make(map[shelfshelf.CustomerKey]usageByAge)
 		s.addToTotals(totals, now)
-		uses = appendSavedUses(uses, centre, totals)
+		usage = appendSavedUsage(usage, centre, totals)
 	}
-	return uses
+	return usage
 }
 
-// appendSavedUses appends the totals of a data centre, without amounts below 1.
-func appendSavedUses(uses []shelfshelf.SavedUse, centre shelfshelf.DataCentre, totals map[shelfshelf.CustomerKey]usageByAge) []shelfshelf.SavedUse {
+// appendSavedUsage appends the totals of a data centre, without amounts below 1.
+func appendSavedUsage(usage []shelfshelf.SavedUse, centre shelfshelf.DataCentre, totals map[shelfshelf.CustomerKey]usageByAge) []shelfshelf.SavedUse {
 	for key, use := range totals {
 		if use.total() >= 1 {
-			uses = append(uses, shelfshelf.SavedUse{DataCentre: centre, Customer: key, Parts: use})
+			usage = append(usage, shelfshelf.SavedUse{DataCentre: centre, Customer: key, Parts: use})
 		}
 	}
-	return uses
+	return usage
 }
 
 // Ended returns the usage at instances of this data centre that have ended or are silent, as far as
-// this instance knows.
+// this instance knows, for its next status.
 func (l *Ledger) Ended() []shelfshelf.CustomerUse {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -102,5 +102,5 @@
 	for _, s := range l.endedIncarnations {
 		s.addToTotals(totals, now)
 	}
-	return customerUses(totals)
+	return customerUsage(totals)
 }
--- a/quota/usage.go
+++ b/quota/usage.go
@@ -6,7 +6,7 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-// totalUsage returns what a customer has used at all instances.
+// totalUsage returns what a customer has used at all instances. The caller must hold l.mu.
 func (l *Ledger) totalUsage(key shelfshelf.CustomerKey, a *account) float64 {
 	now := l.Clock.Now()
 	used := a.ownUsage.sum + max(l.reportedUsage(key, a, now), l.digestUsage(key, a, now))
@@ -21,8 +21,8 @@
 	return used
 }
 
-// reportedUsage returns what the other instances of this data centre have reported, and before the
-// first window is over also what was used before this instance started.
+// reportedUsage returns what the other instances of this data centre have reported, and during the
+// first window also what was used before this instance started. The caller must hold l.mu.
 func (l *Ledger) reportedUsage(key shelfshelf.CustomerKey, a *account, now time.Time) float64 {
 	used := 0.0
 	for _, s := range l.peers {
@@ -37,9 +37,9 @@
 	return used
 }
 
-// digestUsage returns what the digest of this data centre says the other instances have used, that is
-// without the usage reported by this instance. The digest comes from an instance that receives the
-// others' reports more often.
+// digestUsage returns what the other instances have used according to the digest of this data centre,
+// that is without the usage reported by this instance. The digest comes from an instance that receives
+// the others' statuses more often. The caller must hold l.mu.
 func (l *Ledger) digestUsage(key shelfshelf.CustomerKey, a *account, now time.Time) float64 {
 	if l.ownDigest == nil || now.Sub(l.ownDigest.updatedAt) > silenceTimeout {
 		return 0
@@ -48,11 +48,11 @@
 }
 
 // usageBeforeStart returns what counts as used in this data centre by incarnations that ended before
-// this instance started. Peers that have run for a whole window know it; without them, saved usage
-// counts. If nothing is known, the whole limit counts as used, evenly over the window: a restart of all
-// instances then gives no customer a second limit, and a customer that keeps to its limit is not
+// this instance started. Peers that have run for a whole window know it; without such peers, the saved
+// usage counts. If nothing is known, the whole limit counts as used, evenly over the window: a restart
+// of all instances then gives no customer a second limit, and a customer that keeps to its limit is not
 // refused. Usage that has to be assumed is scaled by the share of instances that have not run for a
-// whole window, so a single restarted instance assumes only its own part.
+// whole window, so a single restarted instance assumes only its own part. The caller must hold l.mu.
 func (l *Ledger) usageBeforeStart(key shelfshelf.CustomerKey, a *account, now time.Time) float64 {
 	known, _ := l.Instances()
 	unsettled := max(1, known-l.settledInstances())
@@ -64,7 +64,8 @@
 	return min(l.endedUsage(key, now).total()+l.unsavedUsage(key, a)*share, a.allowed)
 }
 
-// settledInstances returns how many of the other instances have run for at least one window.
+// settledInstances returns how many of the other instances have run for at least one window. The caller
+// must hold l.mu.
 func (l *Ledger) settledInstances() int {
 	count := 0
 	for _, s := range l.peers {
@@ -81,7 +82,7 @@
 }
 
 // endedUsage returns what was used by incarnations in this data centre that ended before this instance
-// started, as reported by settled peers; without any, as saved.
+// started, as reported by settled peers; without any such peer, as saved. The caller must hold l.mu.
 func (l *Ledger) endedUsage(key shelfshelf.CustomerKey, now time.Time) usageByAge {
 	var most usageByAge
 	heard := false
@@ -90,7 +91,7 @@
 			continue
 		}
 		heard = true
-		if use := s.endedUses[key].byAge(s.bucketTimes, now); use.total() > most.total() {
+		if use := s.endedUsage[key].byAge(s.bucketTimes, now); use.total() > most.total() {
 			most = use
 		}
 	}
@@ -100,7 +101,8 @@
 	return l.remainingSaved(l.DataCentre, key, now)
 }
 
-// remainingSaved returns how much of the saved usage of a data centre is still in the window.
+// remainingSaved returns how much of the saved usage of a data centre is still in the window. The
+// caller must hold l.mu.
 func (l *Ledger) remainingSaved(centre shelfshelf.DataCentre, key shelfshelf.CustomerKey, now time.Time) usageByAge {
 	saved := l.saved[centre]
 	if saved == nil {
@@ -110,22 +112,23 @@
 }
 
 // unsavedUsage estimates what was used between the last save and the end of all instances: as much as
-// in the save interval before it.
+// in the save interval before that save, plus minUnsavedFraction of the limit. The caller must hold
+// l.mu.
 func (l *Ledger) unsavedUsage(key shelfshelf.CustomerKey, a *account) float64 {
 	length := bucketLength(l.Window)
 	estimate := 0.0
 	for _, saved := range l.saved {
 		// Bucket 0 starts empty; bucket 1 is the newest one that was saved.
-		estimate += saved.uses[key][1] * float64(saveInterval) / float64(length)
+		estimate += saved.usage[key][1] * float64(saveInterval) / float64(length)
 	}
 	return min(estimate+minUnsavedFraction*a.allowed, maxUnsavedFraction*a.allowed)
 }
 
-// dataCentreTotals returns the usage of every customer in this data centre. The caller holds the lock.
+// dataCentreTotals returns the usage of every customer in this data centre. The caller must hold l.mu.
 func (l *Ledger) dataCentreTotals(now time.Time) map[shelfshelf.CustomerKey]usageByAge {
 	totals := make(map[shelfshelf.CustomerKey]usageByAge)
 	for key, a := range l.accounts {
-		a.ownUsage.advance(slotNumber(now.Sub(l.start), l.Window))
+		a.ownUsage.advance(intervalNumber(now.Sub(l.start), l.Window))
 		totals[key] = totals[key].plus(a.ownUsage.byAge())
 	}
 	for _, s := range l.peers {
@@ -140,16 +143,17 @@
 	return totals
 }
 
-// addEndedUsage adds what was used by incarnations that ended before this instance started.
+// addEndedUsage adds what was used by incarnations that ended before this instance started. The caller
+// must hold l.mu.
 func (l *Ledger) addEndedUsage(totals map[shelfshelf.CustomerKey]usageByAge, now time.Time) {
 	keys := make(map[shelfshelf.CustomerKey]bool)
 	if saved := l.saved[l.DataCentre]; saved != nil {
-		for key := range saved.uses {
+		for key := range saved.usage {
 			keys[key] = true
 		}
 	}
 	for _, s := range l.peers {
-		for key := range s.endedUses {
+		for key := range s.endedUsage {
 			keys[key] = true
 		}
 	}
@@ -158,13 +162,13 @@
 	}
 }
 
-// customerUses converts totals to the form of reports, without amounts below 1.
-func customerUses(totals map[shelfshelf.CustomerKey]usageByAge) []shelfshelf.CustomerUse {
-	var uses []shelfshelf.CustomerUse
+// customerUsage converts totals to the form that statuses and digests carry, without amounts below 1.
+func customerUsage(totals map[shelfshelf.CustomerKey]usageByAge) []shelfshelf.CustomerUse {
+	var usage []shelfshelf.CustomerUse
 	for key, use := range totals {
 		if sum := use.total(); sum >= 1 {
-			uses = append(uses, shelfshelf.CustomerUse{Customer: key, Amount: sum})
+			usage = append(usage, shelfshelf.CustomerUse{Customer: key, Amount: sum})
 		}
 	}
-	return uses
+	return usage
 }
