--- a/relay/configuration.go
+++ b/relay/configuration.go
@@ -15,22 +15,22 @@
 	"github.com/shelfshelf/shelfshelf/parts"
 )
 
-// batchBytes bounds the parts of one answer, packed: a link of 10 Mbit/s carries it in
-// 52 ms, so that an answer which is lost costs no more.
-const batchBytes = 64 << 10
+// maxBatchBytes bounds the compressed parts in one response. A 10 Mbit/s link carries that much in
+// 52 ms, so a lost response costs no more than that.
+const maxBatchBytes = 64 << 10
 
-// cutConfiguration is a configuration in parts. It changes only in packed, under the
-// relay's lock.
-type cutConfiguration struct {
+// splitConfiguration is a configuration split into parts. Only compressed changes after creation; it is
+// guarded by Relay.mu.
+type splitConfiguration struct {
 	index   *catalog.Index
 	ids     []parts.ID
 	content map[parts.ID][]byte
-	// packed are the parts that were asked for, as they go to others.
-	packed map[parts.ID][]byte
+	// compressed caches the compressed form of the parts requested so far.
+	compressed map[parts.ID][]byte
 }
 
-func cut(index *catalog.Index) *cutConfiguration {
-	c := &cutConfiguration{index: index, content: make(map[parts.ID][]byte), packed: make(map[parts.ID][]byte)}
+func splitIndex(index *catalog.Index) *splitConfiguration {
+	c := &splitConfiguration{index: index, content: make(map[parts.ID][]byte), compressed: make(map[parts.ID][]byte)}
 	for _, part := range parts.Split(index.Encoded) {
 		c.ids = append(c.ids, part.ID)
 		c.content[part.ID] = part.Content
@@ -38,23 +38,23 @@
 	return c
 }
 
-// inParts returns the configuration in force in parts, and up to when it is known to hold;
-// nil if there is none.
-func (r *Relay) inParts() (*cutConfiguration, time.Time) {
+// currentSplit returns the configuration in force, split into parts, and the time up to which it is known
+// to be current. It returns nil if there is no configuration.
+func (r *Relay) currentSplit() (*splitConfiguration, time.Time) {
 	index, at := r.Catalog.Index()
 	if index == nil {
 		return nil, at
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.cut == nil || r.cut.index != index {
-		r.cut = cut(index)
+	if r.split == nil || r.split.index != index {
+		r.split = splitIndex(index)
 	}
-	return r.cut, at
+	return r.split, at
 }
 
 func (r *Relay) serveManifest(w http.ResponseWriter, _ *http.Request) {
-	c, at := r.inParts()
+	c, at := r.currentSplit()
 	if c == nil {
 		http.Error(w, "no configuration is known", http.StatusServiceUnavailable)
 		return
@@ -62,67 +62,66 @@
 	content, err := encodeManifest(manifest{
 		age: r.Clock.Now().Sub(at), revision: c.index.Revision, size: len(c.index.Encoded), ids: c.ids,
 	})
-	r.write(w, content, err)
+	r.writeResponse(w, content, err)
 }
 
-// serveParts sends the parts that are asked for, in their order, as many as an answer
-// may hold.
+// serveParts sends the requested parts in the order of the request, as many as fit in one response.
 func (r *Relay) serveParts(w http.ResponseWriter, request *http.Request) {
-	asked, err := io.ReadAll(http.MaxBytesReader(w, request.Body, maxFetched))
+	body, err := io.ReadAll(http.MaxBytesReader(w, request.Body, maxFetchBytes))
 	if err != nil {
 		http.Error(w, "can't be read", http.StatusBadRequest)
 		return
 	}
-	ids, err := decodeIDs(asked)
+	ids, err := decodeIDs(body)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	packed, err := r.pack(ids)
+	batch, err := r.compressedParts(ids)
 	if err != nil {
-		r.write(w, nil, err)
+		r.writeResponse(w, nil, err)
 		return
 	}
-	content, err := encodeParts(packed)
-	r.write(w, content, err)
+	content, err := encodeParts(batch)
+	r.writeResponse(w, content, err)
 }
 
-// pack returns the first of these parts that are known here, packed.
-func (r *Relay) pack(ids []parts.ID) ([][]byte, error) {
-	c, _ := r.inParts()
+// compressedParts returns the compressed form of the known parts among ids, up to maxBatchBytes but at
+// least one.
+func (r *Relay) compressedParts(ids []parts.ID) ([][]byte, error) {
+	c, _ := r.currentSplit()
 	if c == nil {
 		return nil, nil
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var list [][]byte
+	var batch [][]byte
 	size := 0
 	for _, id := range ids {
-		content, known := c.content[id]
-		if !known {
+		content, found := c.content[id]
+		if !found {
 			continue
 		}
-		if c.packed[id] == nil {
-			packed, err := parts.Pack(content)
+		if c.compressed[id] == nil {
+			compressed, err := parts.Pack(content)
 			if err != nil {
 				return nil, err
 			}
-			c.packed[id] = packed
+			c.compressed[id] = compressed
 		}
-		size += len(c.packed[id])
-		if size > batchBytes && len(list) > 0 {
+		size += len(c.compressed[id])
+		if size > maxBatchBytes && len(batch) > 0 {
 			break
 		}
-		list = append(list, c.packed[id])
+		batch = append(batch, c.compressed[id])
 	}
-	return list, nil
+	return batch, nil
 }
 
-// fetchConfiguration fetches the parts of another instance's configuration that are not
-// known here. Those that have come are kept if it fails, so that the next try, with
-// whatever instance, goes on from there.
+// fetchConfiguration fetches the parts of another instance's configuration that are missing here. If it
+// fails, the parts received so far are kept, so the next attempt resumes from there, with any instance.
 func (r *Relay) fetchConfiguration(ctx context.Context, e *exchange) error {
-	content, err := e.ask(ctx, http.MethodGet, kindConfiguration, nil)
+	content, err := e.send(ctx, http.MethodGet, kindConfiguration, nil)
 	if err != nil {
 		return err
 	}
@@ -130,82 +129,82 @@
 	if err != nil {
 		return err
 	}
-	at := e.began.Add(-m.age)
+	at := e.startedAt.Add(-m.age)
 	if !r.Catalog.Lacks(m.revision) {
 		r.Catalog.Confirm(m.revision, at)
 		return nil
 	}
-	known := r.known(m)
+	known := r.knownParts(m)
 	for missing := m.missing(known); len(missing) > 0; missing = m.missing(known) {
 		if err := r.fetchParts(ctx, e, missing, known); err != nil {
 			return err
 		}
 	}
-	r.received = nil
+	r.receivedParts = nil
 	return r.Catalog.Offer(m.join(known), at, e.address)
 }
 
-// known returns the parts that a manifest names and that are here, and forgets those that
-// it doesn't.
-func (r *Relay) known(m manifest) map[parts.ID][]byte {
-	c, _ := r.inParts()
+// knownParts returns the parts listed in a manifest that are available locally. It discards received parts
+// that the manifest does not list.
+func (r *Relay) knownParts(m manifest) map[parts.ID][]byte {
+	c, _ := r.currentSplit()
 	known := make(map[parts.ID][]byte, len(m.ids))
 	for _, id := range m.ids {
-		content, here := r.received[id]
-		if !here && c != nil {
-			content, here = c.content[id]
+		content, found := r.receivedParts[id]
+		if !found && c != nil {
+			content, found = c.content[id]
 		}
-		if here {
+		if found {
 			known[id] = content
 		}
 	}
-	r.received = known
+	r.receivedParts = known
 	return known
 }
 
-// fetchParts asks for parts and adds those that come.
+// fetchParts requests the missing parts and adds the received ones to known.
 func (r *Relay) fetchParts(ctx context.Context, e *exchange, missing []parts.ID, known map[parts.ID][]byte) error {
-	content, err := e.ask(ctx, http.MethodPost, kindParts, encodeIDs(missing))
+	content, err := e.send(ctx, http.MethodPost, kindParts, encodeIDs(missing))
 	if err != nil {
 		return err
 	}
-	list, err := decodeParts(content)
+	batch, err := decodeParts(content)
 	if err != nil {
 		return err
 	}
-	before := len(known)
-	for _, packed := range list {
-		part, err := parts.Unpack(packed)
+	countBefore := len(known)
+	for _, compressed := range batch {
+		part, err := parts.Unpack(compressed)
 		if err != nil {
 			return err
 		}
-		// What was not asked for would be kept for nothing.
+		// Ignore parts that were not requested: keeping them would waste memory.
 		if id := parts.IDOf(part); slices.Contains(missing, id) {
 			known[id] = part
 		}
 	}
-	if len(known) == before {
-		return eris.New("another instance has none of the parts any more")
+	if len(known) == countBefore {
+		return eris.New("the other instance no longer has any of the requested parts")
 	}
 	return nil
 }
 
-// manifest says what a configuration is made of.
+// manifest lists the parts of a configuration.
 type manifest struct {
-	// age is how long ago it was known to be the newest.
+	// age is the time since the configuration was last known to be the newest.
 	age      time.Duration
 	revision shelfshelf.Revision
-	// size is that of the whole, in bytes.
+	// size is the size of the encoded configuration in bytes.
 	size int
 	ids  []parts.ID
 }
 
-// missing returns the parts that are not known, each once.
+// missing returns the IDs of the parts that are not in known, without duplicates.
 func (m manifest) missing(known map[parts.ID][]byte) []parts.ID {
 	var missing []parts.ID
 	listed := make(map[parts.ID]bool)
 	for _, id := range m.ids {
-		if _, here := known[id]; !here && !listed[id] {
+		if _, found := known[id]; !found && !listed[id] {
 			listed[id] = true
 			missing = append(missing, id)
 		}
@@ -213,12 +212,12 @@
 	return missing
 }
 
-// join puts the whole together.
+// join concatenates the parts into the encoded configuration.
 func (m manifest) join(known map[parts.ID][]byte) []byte {
-	var whole bytes.Buffer
-	whole.Grow(m.size)
+	var content bytes.Buffer
+	content.Grow(m.size)
 	for _, id := range m.ids {
-		whole.Write(known[id])
+		content.Write(known[id])
 	}
-	return whole.Bytes()
+	return content.Bytes()
 }
--- a/relay/crashes.go
+++ b/relay/crashes.go
@@ -13,32 +13,32 @@
 
 func (r *Relay) serveCrashes(w http.ResponseWriter, _ *http.Request) {
 	err := shelfshelf.ErrUnavailable
-	var known []shelfshelf.Crash
+	var records []shelfshelf.Crash
 	if r.Crashes != nil {
-		known, err = r.Crashes()
+		records, err = r.Crashes()
 	}
 	if err != nil {
 		http.Error(w, "the ends of targets are not known", http.StatusServiceUnavailable)
 		return
 	}
-	content, err := encodeCrashes(known)
-	r.write(w, content, err)
+	content, err := encodeCrashes(records)
+	r.writeResponse(w, content, err)
 }
 
-// FetchCrashes asks another instance for all that it knows of targets that ended.
+// FetchCrashes fetches all target crashes that another instance knows of.
 func (r *Relay) FetchCrashes(ctx context.Context, address string) ([]shelfshelf.Crash, error) {
 	return fetchOnce(ctx, r, address, kindCrashes, decodeCrashes)
 }
 
-func encodeCrashes(known []shelfshelf.Crash) ([]byte, error) {
-	content, err := cbor.Marshal(crashes.ToWire(known))
-	return content, eris.Wrap(err, "encode ends of targets")
+func encodeCrashes(records []shelfshelf.Crash) ([]byte, error) {
+	content, err := cbor.Marshal(crashes.ToWire(records))
+	return content, eris.Wrap(err, "encode crashes")
 }
 
 func decodeCrashes(content []byte) ([]shelfshelf.Crash, error) {
 	var wire []crashes.Wire
 	if err := cbor.Unmarshal(content, &wire); err != nil {
-		return nil, eris.Wrap(err, "decode ends of targets")
+		return nil, eris.Wrap(err, "decode crashes")
 	}
 	return crashes.FromWire(wire), nil
 }
--- a/relay/doc.go
+++ b/relay/doc.go
@@ -1,4 +1,4 @@
-// Package relay lets instances hand each other the configuration and the list of
-// targets, so that one which the platform's store turns away still learns of every
+// Package relay replicates the configuration, the list of targets and other state between
+// instances over HTTP, so that an instance that the platform's store rejects still receives every
 // change.
 package relay
--- a/relay/instances.go
+++ b/relay/instances.go
@@ -30,10 +30,10 @@
 		return
 	}
 	content, err := encodeInstances(instances)
-	r.write(w, content, err)
+	r.writeResponse(w, content, err)
 }
 
-// FetchInstances asks another instance for all instances that it knows.
+// FetchInstances fetches the list of instances that another instance knows of.
 func (r *Relay) FetchInstances(ctx context.Context, address string) ([]shelfshelf.Instance, error) {
 	return fetchOnce(ctx, r, address, kindInstances, decodeInstances)
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -21,88 +21,87 @@
 )
 
 const (
-	// answerTime bounds the time until another instance's answer begins, and the time
-	// without another byte of it. The whole has no bound, or a link too narrow to carry it
-	// in that time would never have it.
-	answerTime = 600 * time.Millisecond
-	// fetchPause is the least time between two fetches of the same kind.
-	fetchPause = 100 * time.Millisecond
-	// idleTimeout is how long a connection to another instance is kept unused.
-	idleTimeout = 90 * time.Second
-	// queryAfter holds the version of the list of targets that is known.
-	queryAfter = "after"
-	// maxFetched bounds what is fetched, in bytes.
-	maxFetched = 16 << 20
+	// responseTimeout bounds the time to the first byte of another instance's response and the gap
+	// between bytes. The total time is unbounded, or an instance on a slow link would never receive a
+	// large response.
+	responseTimeout = 600 * time.Millisecond
+	// minFetchInterval is the pause after each fetch before the next one of the same kind.
+	minFetchInterval = 100 * time.Millisecond
+	// idleConnTimeout is how long an idle connection to another instance is kept open.
+	idleConnTimeout = 90 * time.Second
+	// paramAfter is the query parameter with the version of the list of targets that the client has.
+	paramAfter = "after"
+	// maxFetchBytes bounds the size of a response, of a request body and of a configuration.
+	maxFetchBytes = 16 << 20
 )
 
-// Relay hands out what this instance knows and fetches what others know better.
-// Fields are set before Run.
+// Relay serves this instance's state to other instances and fetches newer state from them.
+// The exported fields must be set before Run.
 type Relay struct {
 	Clock   shelfshelf.Clock
 	Log     *log.Logger
 	Catalog *catalog.Catalog
-	// Uses returns what customers have used, for an instance that starts; the error is
-	// ErrUnavailable if that is not known here yet, ErrNotFound if nobody knows. Nil means
-	// that it never is.
+	// Uses returns the usage of customers, for an instance that is starting. The error is ErrUnavailable
+	// if the usage is not known here yet and ErrNotFound if no instance knows it. If nil, the usage is
+	// never known here.
 	Uses func() (shelfshelf.SavedUses, error)
-	// Crashes returns all that is known of targets that ended; the error is ErrUnavailable
-	// if that is not known here yet. Nil means that it never is.
+	// Crashes returns all known target crashes. The error is ErrUnavailable if they are not known here
+	// yet. If nil, they are never known here.
 	Crashes func() ([]shelfshelf.Crash, error)
-	// Versions returns what this instance has counted of pools' versions; nil means nothing.
+	// Versions returns this instance's counts per pool and version. If nil, it keeps no counts.
 	Versions func() rollout.Report
-	// Instances returns all instances that are known here; false while not all are. Nil means that
-	// they never are.
+	// Instances returns the known instances, and whether the list is complete. If nil, it is never known
+	// here.
 	Instances func() ([]shelfshelf.Instance, bool)
-	// Fetched is told of each fetch: what was fetched, how far it came and whether it
-	// was taken; may be nil.
+	// Fetched, if set, is called after each fetch with the kind of the fetched resource, the progress of
+	// the transfer and whether the result was accepted.
 	Fetched func(kind string, progress transfer.Progress, ok bool)
-	// Dial opens connections to the others; nil means the operating system's.
+	// Dial opens connections to other instances. If nil, the operating system's dialer is used.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-	client         http.Client
-	configurations chan offer
-	targets        chan offer
+	client               http.Client
+	configurationFetches chan pendingFetch
+	targetFetches        chan pendingFetch
 
-	// received are parts of a configuration that is still to be put together; only the
-	// loop of configurations uses them.
-	received map[parts.ID][]byte
+	// receivedParts are the parts of a configuration that is still incomplete. Only the fetch loop of
+	// configurations accesses them.
+	receivedParts map[parts.ID][]byte
 
 	mu sync.Mutex
-	// cut is the configuration in force in parts, once it was asked for.
-	cut *cutConfiguration
+	// split caches the configuration in force, split into parts, once it has been requested.
+	split *splitConfiguration
 }
 
-// offer is another instance's word that it knows something newer.
-type offer struct {
+// pendingFetch is a queued fetch from another instance that announced newer state.
+type pendingFetch struct {
 	address string
-	// wanted reports that it is still newer than what is known here.
-	wanted func() bool
+	// needed reports whether that state is still newer than the local one.
+	needed func() bool
 }
 
-// Init makes the parts that Heard and Run need; it is called before them.
+// Init initializes the queues and the HTTP client. It must be called before Heard and Run.
 func (r *Relay) Init() {
-	r.configurations = make(chan offer, 1)
-	r.targets = make(chan offer, 1)
-	r.client.Transport = &http.Transport{DialContext: r.Dial, DisableCompression: true, IdleConnTimeout: idleTimeout}
+	r.configurationFetches = make(chan pendingFetch, 1)
+	r.targetFetches = make(chan pendingFetch, 1)
+	r.client.Transport = &http.Transport{DialContext: r.Dial, DisableCompression: true, IdleConnTimeout: idleConnTimeout}
 }
 
-// Handler serves what this instance knows to the others.
+// Handler returns the HTTP handler that serves this instance's state to other instances.
 func (r *Relay) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /"+kindConfiguration, r.serveManifest)
 	mux.HandleFunc("POST /"+kindParts, r.serveParts)
 	mux.HandleFunc("GET /"+kindTargets, r.serveTargets)
-	mux.HandleFunc("GET /"+kindUses, r.serveUses)
+	mux.HandleFunc("GET /"+kindUsage, r.serveUsage)
 	mux.HandleFunc("GET /"+kindCrashes, r.serveCrashes)
 	mux.HandleFunc("GET /"+kindVersions, r.serveVersions)
 	mux.HandleFunc("GET /"+kindInstances, r.serveInstances)
 	return mux
 }
 
-// serveTargets answers with what has changed since the version that the other instance knows, or with
-// the whole list.
+// serveTargets sends the changes since the version that the other instance has, or the whole list.
 func (r *Relay) serveTargets(w http.ResponseWriter, request *http.Request) {
-	after, err := strconv.ParseUint(request.URL.Query().Get(queryAfter), 10, 64)
+	after, err := strconv.ParseUint(request.URL.Query().Get(paramAfter), 10, 64)
 	if err != nil {
 		after = 0
 	}
@@ -112,86 +111,86 @@
 		return
 	}
 	content, err := encodeTargets(delta, r.Clock.Now())
-	r.write(w, content, err)
+	r.writeResponse(w, content, err)
 }
 
-func (r *Relay) write(w http.ResponseWriter, content []byte, err error) {
+func (r *Relay) writeResponse(w http.ResponseWriter, content []byte, err error) {
 	if err != nil {
-		r.Log.Error("Knowledge can't be encoded.", "error", err)
+		r.Log.Error("Encoding a response for another instance failed.", "error", err)
 		http.Error(w, "can't be encoded", http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(content)))
 	if _, err := w.Write(content); err != nil {
-		r.Log.Debug("An instance did not take what it asked for.", "error", err)
+		r.Log.Debug("Writing a response to another instance failed.", "error", err)
 	}
 }
 
-// Heard takes what another instance says of its knowledge; at is an instant that
-// this is surely no older than, zero if there is none.
+// Heard processes another instance's status and queues fetches of whatever is newer there. The status is
+// no older than at; a zero at means that its age is unknown.
 func (r *Relay) Heard(status shelfshelf.Status, at time.Time) {
 	if r.Catalog.HeardOf(status.Revision) {
-		r.Log.Info("A newer configuration is known of.", "revision", status.Revision, "from", status.From.ID)
+		r.Log.Info("Another instance announced a newer configuration.", "revision", status.Revision, "from", status.From.ID)
 	}
 	switch {
 	case status.Revision == 0:
 	case r.Catalog.Lacks(status.Revision):
-		leave(r.configurations, offer{status.From.Address, func() bool { return r.Catalog.Lacks(status.Revision) }})
+		enqueue(r.configurationFetches, pendingFetch{status.From.Address, func() bool { return r.Catalog.Lacks(status.Revision) }})
 	case !at.IsZero():
 		r.Catalog.Confirm(status.Revision, at.Add(-status.RevisionAge))
 	}
-	version, _ := r.Catalog.TargetsKnown()
+	knownVersion, _ := r.Catalog.TargetsKnown()
 	switch {
-	case status.TargetsVersion > version:
-		leave(r.targets, offer{status.From.Address, func() bool {
+	case status.TargetsVersion > knownVersion:
+		enqueue(r.targetFetches, pendingFetch{status.From.Address, func() bool {
 			known, _ := r.Catalog.TargetsKnown()
 			return status.TargetsVersion > known
 		}})
-	case status.TargetsVersion == version && status.TargetsVersion > 0 && !at.IsZero():
+	case status.TargetsVersion == knownVersion && status.TargetsVersion > 0 && !at.IsZero():
 		r.Catalog.ConfirmTargets(status.TargetsVersion, at.Add(-status.TargetsAge))
 	}
 }
 
-// leave leaves an offer, unless one waits already.
-func leave(offers chan offer, o offer) {
+// enqueue adds a fetch to the queue, or drops it if the queue is full.
+func enqueue(queue chan pendingFetch, pending pendingFetch) {
 	select {
-	case offers <- o:
+	case queue <- pending:
 	default:
 	}
 }
 
-// Run fetches until the context ends.
+// Run fetches newer state from other instances until the context is cancelled.
 func (r *Relay) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var group run.Group
-	group.Add(func() error { return r.loop(ctx, r.configurations, kindConfiguration, r.fetchConfiguration) }, func(error) { cancel() })
-	group.Add(func() error { return r.loop(ctx, r.targets, kindTargets, r.fetchTargets) }, func(error) { cancel() })
+	group.Add(func() error { return r.fetchLoop(ctx, r.configurationFetches, kindConfiguration, r.fetchConfiguration) }, func(error) { cancel() })
+	group.Add(func() error { return r.fetchLoop(ctx, r.targetFetches, kindTargets, r.fetchTargets) }, func(error) { cancel() })
 	return group.Run()
 }
 
-func (r *Relay) loop(ctx context.Context, offers <-chan offer, kind string, fetch func(context.Context, *exchange) error) error {
+func (r *Relay) fetchLoop(ctx context.Context, queue <-chan pendingFetch, kind string, fetch func(context.Context, *exchange) error) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case o := <-offers:
-			// A second fetch of what has come meanwhile would fill the link for nothing.
-			if !o.wanted() {
+		case pending := <-queue:
+			// Fetching what has arrived in the meantime again would waste bandwidth.
+			if !pending.needed() {
 				continue
 			}
-			r.take(ctx, o.address, kind, fetch)
+			r.fetchFrom(ctx, pending.address, kind, fetch)
 		}
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-r.Clock.After(fetchPause):
+		case <-r.Clock.After(minFetchInterval):
 		}
 	}
 }
 
-// take fetches what another instance knows, and tells of it.
-func (r *Relay) take(ctx context.Context, address, kind string, fetch func(context.Context, *exchange) error) {
-	e := &exchange{relay: r, address: address, began: r.Clock.Now()}
+// fetchFrom runs one fetch from another instance and reports the outcome.
+func (r *Relay) fetchFrom(ctx context.Context, address, kind string, fetch func(context.Context, *exchange) error) {
+	e := &exchange{relay: r, address: address, startedAt: r.Clock.Now()}
 	err := fetch(ctx, e)
 	if ctx.Err() != nil {
 		return
@@ -199,27 +198,27 @@
 	r.report(e, kind, err)
 }
 
-// report logs and counts what became of an exchange.
+// report logs the outcome of an exchange and passes it to Fetched.
 func (r *Relay) report(e *exchange, kind string, err error) {
-	e.progress.Took = r.Clock.Now().Sub(e.began)
+	e.progress.Took = r.Clock.Now().Sub(e.startedAt)
 	if r.Fetched != nil {
 		r.Fetched(kind, e.progress, err == nil)
 	}
-	fields := []any{"kind", kind, "from", e.address, "bytes", e.progress.Bytes, "asks", e.asks, "first", e.progress.First, "took", e.progress.Took}
+	fields := []any{"kind", kind, "from", e.address, "bytes", e.progress.Bytes, "asks", e.requests, "first", e.progress.First, "took", e.progress.Took}
 	if err != nil {
-		r.Log.Warn("Another instance gave no knowledge.", append(fields, "error", err)...)
+		r.Log.Warn("A fetch from another instance failed.", append(fields, "error", err)...)
 		return
 	}
-	r.Log.Info("Another instance gave knowledge.", fields...)
+	r.Log.Info("A fetch from another instance succeeded.", fields...)
 }
 
 func (r *Relay) fetchTargets(ctx context.Context, e *exchange) error {
-	known, _ := r.Catalog.TargetsKnown()
-	content, err := e.ask(ctx, http.MethodGet, kindTargets+"?"+queryAfter+"="+strconv.FormatUint(known, 10), nil)
+	knownVersion, _ := r.Catalog.TargetsKnown()
+	content, err := e.send(ctx, http.MethodGet, kindTargets+"?"+paramAfter+"="+strconv.FormatUint(knownVersion, 10), nil)
 	if err != nil {
 		return err
 	}
-	delta, err := decodeTargets(content, e.began)
+	delta, err := decodeTargets(content, e.startedAt)
 	if err != nil {
 		return err
 	}
@@ -227,49 +226,49 @@
 	return nil
 }
 
-// fetchOnce asks another instance for one piece of knowledge and reads it, and reports what
-// became of that.
+// fetchOnce fetches and decodes a resource with a single request to another instance, and reports the
+// outcome.
 func fetchOnce[T any](ctx context.Context, r *Relay, address, kind string, decode func([]byte) (T, error)) (T, error) {
-	e := &exchange{relay: r, address: address, began: r.Clock.Now()}
-	content, err := e.ask(ctx, http.MethodGet, kind, nil)
-	var known T
+	e := &exchange{relay: r, address: address, startedAt: r.Clock.Now()}
+	content, err := e.send(ctx, http.MethodGet, kind, nil)
+	var result T
 	if err == nil {
-		known, err = decode(content)
+		result, err = decode(content)
 	}
 	r.report(e, kind, err)
-	return known, err
+	return result, err
 }
 
-// exchange is what is asked of another instance for one piece of knowledge.
+// exchange is the series of requests to another instance that make up one fetch.
 type exchange struct {
-	relay    *Relay
-	address  string
-	began    time.Time
-	asks     int
-	progress transfer.Progress
+	relay     *Relay
+	address   string
+	startedAt time.Time
+	requests  int
+	progress  transfer.Progress
 }
 
-// ask asks once and adds up how far the exchange has come.
-func (e *exchange) ask(ctx context.Context, method, kind string, body []byte) ([]byte, error) {
+// send sends one request and adds its transfer to the progress of the exchange.
+func (e *exchange) send(ctx context.Context, method, kind string, body []byte) ([]byte, error) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+e.address+"/"+kind, bytes.NewReader(body))
 	if err != nil {
-		return nil, eris.Wrap(err, "ask another instance")
+		return nil, eris.Wrap(err, "request to another instance")
 	}
-	limits := transfer.Limits{First: answerTime, Silence: answerTime, Bytes: maxFetched}
-	answer, err := transfer.Do(e.relay.Clock, &e.relay.client, request, limits)
-	if e.asks == 0 {
-		e.progress.First = answer.First
+	limits := transfer.Limits{First: responseTimeout, Silence: responseTimeout, Bytes: maxFetchBytes}
+	response, err := transfer.Do(e.relay.Clock, &e.relay.client, request, limits)
+	if e.requests == 0 {
+		e.progress.First = response.First
 	}
-	e.asks++
-	e.progress.Bytes += answer.Bytes
+	e.requests++
+	e.progress.Bytes += response.Bytes
 	if err != nil {
-		return nil, eris.Wrap(err, "ask another instance")
+		return nil, eris.Wrap(err, "request to another instance")
 	}
-	switch answer.Status {
+	switch response.Status {
 	case http.StatusOK:
-		return answer.Body, nil
+		return response.Body, nil
 	case http.StatusNotFound:
 		return nil, eris.Wrap(shelfshelf.ErrNotFound, "another instance")
 	}
-	return nil, eris.Errorf("another instance answered %d", answer.Status)
+	return nil, eris.Errorf("another instance answered %d", response.Status)
 }
--- a/relay/uses.go
+++ b/relay/usage.go
@@ -12,7 +12,7 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-// wireSavedUse is what a customer has used in a data centre, by parts of the window.
+// wireSavedUse is a customer's usage in a data centre, by time bucket of the quota window.
 type wireSavedUse struct {
 	_          struct{} `cbor:",toarray"`
 	DataCentre string
@@ -20,14 +20,14 @@
 	Parts      [shelfshelf.UseParts]float64
 }
 
-// wireSavedUses is what customers have used so long ago, in nanoseconds.
+// wireSavedUses is the usage of all customers as it was Age nanoseconds ago.
 type wireSavedUses struct {
 	_    struct{} `cbor:",toarray"`
 	Age  int64
 	Uses []wireSavedUse
 }
 
-func (r *Relay) serveUses(w http.ResponseWriter, _ *http.Request) {
+func (r *Relay) serveUsage(w http.ResponseWriter, _ *http.Request) {
 	err := shelfshelf.ErrUnavailable
 	var saved shelfshelf.SavedUses
 	if r.Uses != nil {
@@ -41,32 +41,32 @@
 		http.Error(w, "the use of customers is not known", http.StatusServiceUnavailable)
 		return
 	}
-	content, err := encodeUses(saved)
-	r.write(w, content, err)
+	content, err := encodeUsage(saved)
+	r.writeResponse(w, content, err)
 }
 
-// FetchUses asks another instance what customers have used. The error is ErrNotFound if
-// it says that nothing was saved.
+// FetchUses fetches the usage of customers from another instance. The error is ErrNotFound if that
+// instance reports that no usage was saved.
 func (r *Relay) FetchUses(ctx context.Context, address string) (shelfshelf.SavedUses, error) {
-	began := r.Clock.Now()
-	saved, err := fetchOnce(ctx, r, address, kindUses, decodeUses)
-	saved.Age += r.Clock.Now().Sub(began)
+	startedAt := r.Clock.Now()
+	saved, err := fetchOnce(ctx, r, address, kindUsage, decodeUsage)
+	saved.Age += r.Clock.Now().Sub(startedAt)
 	return saved, err
 }
 
-func encodeUses(saved shelfshelf.SavedUses) ([]byte, error) {
+func encodeUsage(saved shelfshelf.SavedUses) ([]byte, error) {
 	wire := wireSavedUses{Age: int64(saved.Age)}
 	for _, use := range saved.Uses {
 		wire.Uses = append(wire.Uses, wireSavedUse{DataCentre: string(use.DataCentre), Customer: uint32(use.Customer), Parts: use.Parts})
 	}
 	content, err := cbor.Marshal(wire)
-	return content, eris.Wrap(err, "encode uses")
+	return content, eris.Wrap(err, "encode usage")
 }
 
-func decodeUses(content []byte) (shelfshelf.SavedUses, error) {
+func decodeUsage(content []byte) (shelfshelf.SavedUses, error) {
 	var wire wireSavedUses
 	if err := cbor.Unmarshal(content, &wire); err != nil {
-		return shelfshelf.SavedUses{}, eris.Wrap(err, "decode uses")
+		return shelfshelf.SavedUses{}, eris.Wrap(err, "decode usage")
 	}
 	saved := shelfshelf.SavedUses{Age: time.Duration(wire.Age)}
 	for _, use := range wire.Uses {
--- a/relay/uses_test.go
+++ b/relay/usage_test.go
@@ -10,17 +10,17 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-// What customers have used comes from an instance that knows it, with its age; one that
-// doesn't is told apart from one that says that nothing was saved.
-func TestUsesComeFromOtherInstances(t *testing.T) {
+// An instance fetches the usage of customers, with its age, from another one. The answer that no usage
+// was saved differs from the answer that the usage is not known yet.
+func TestUsageIsFetchedFromOtherInstances(t *testing.T) {
 	t.Parallel()
 	simulate(t, func(d *deployment) {
-		d.start(2, narrow, 0)
+		d.start(2, narrowLink, 0)
 		answer := shelfshelf.SavedUses{}
 		var failure error
-		d.members[0].relay.Uses = func() (shelfshelf.SavedUses, error) { return answer, failure }
+		d.instances[0].relay.Uses = func() (shelfshelf.SavedUses, error) { return answer, failure }
 		fetch := func() (shelfshelf.SavedUses, error) {
-			return d.members[1].relay.FetchUses(d.ctx, d.members[0].name+":80")
+			return d.instances[1].relay.FetchUses(d.ctx, d.instances[0].name+":80")
 		}
 		answer = shelfshelf.SavedUses{Age: time.Second, Uses: []shelfshelf.SavedUse{
 			{DataCentre: "a", Customer: 7, Parts: [shelfshelf.UseParts]float64{1, 2, 3, 4}},
--- a/relay/versions.go
+++ b/relay/versions.go
@@ -13,14 +13,14 @@
 		return
 	}
 	content, err := rollout.EncodeReport(r.Versions())
-	r.write(w, content, err)
+	r.writeResponse(w, content, err)
 }
 
-// FetchVersions asks another instance what it has counted of pools' versions. It is asked
-// several times a second while an order is under way, and logs nothing.
+// FetchVersions fetches another instance's counts per pool and version. It logs nothing, because it is
+// called several times a second while an order is in progress.
 func (r *Relay) FetchVersions(ctx context.Context, address string) (rollout.Report, error) {
-	e := &exchange{relay: r, address: address, began: r.Clock.Now()}
-	content, err := e.ask(ctx, http.MethodGet, kindVersions, nil)
+	e := &exchange{relay: r, address: address, startedAt: r.Clock.Now()}
+	content, err := e.send(ctx, http.MethodGet, kindVersions, nil)
 	if err != nil {
 		return rollout.Report{}, err
 	}
--- a/relay/wire.go
+++ b/relay/wire.go
@@ -11,13 +11,14 @@
 	"github.com/shelfshelf/shelfshelf/parts"
 )
 
-// What instances hand to each other, each at a path of its name.
+// The resources that instances serve to each other. Each name is also the URL path and the kind in logs
+// and metrics.
 const (
-	// kindConfiguration is the list of a configuration's parts, kindParts are such parts.
+	// kindConfiguration is the manifest of a configuration, kindParts are the parts it lists.
 	kindConfiguration = "configuration"
 	kindParts         = "parts"
 	kindTargets       = "targets"
-	kindUses          = "uses"
+	kindUsage         = "uses"
 	kindCrashes       = "crashes"
 	kindVersions      = "versions"
 	kindInstances     = "instances"
@@ -26,19 +27,19 @@
 type (
 	wireManifest struct {
 		_ struct{} `cbor:",toarray"`
-		// Age is how long ago it was known to be the newest, in nanoseconds.
+		// Age is the time since the configuration was last known to be the newest, in nanoseconds.
 		Age      int64
 		Revision uint64
 		Size     int
-		// IDs are the names of the parts, one after the other.
+		// IDs are the concatenated IDs of the parts.
 		IDs []byte
 	}
 	wireTargets struct {
 		_       struct{} `cbor:",toarray"`
 		Age     int64
 		Version uint64
-		// After is the version of the list that Targets and Removed are the changes since; 0 where
-		// Targets are all.
+		// After is the version of the list that Targets and Removed are relative to, or 0 if Targets is
+		// the whole list.
 		After   uint64
 		Targets []wireTarget
 		Removed []string
@@ -51,10 +52,10 @@
 		Address    string
 		Leaving    bool
 		Slots      int
-		// KeptFor is how much longer a target is used that the store has lost; 0 for one
-		// that it has.
+		// KeptFor is how much longer a target that is missing from the store is used, in nanoseconds; 0
+		// for a target that the store has.
 		KeptFor int64
-		// BornMillis is a Unix time in milliseconds; 0 where it is not known.
+		// BornMillis is the start time of the target as a Unix time in milliseconds, or 0 if unknown.
 		BornMillis int64
 		Version    string
 		// ColdFor is in nanoseconds.
@@ -77,8 +78,8 @@
 	if err != nil {
 		return manifest{}, err
 	}
-	if wire.Size < 0 || wire.Size > maxFetched {
-		return manifest{}, eris.Errorf("decode configuration: a size of %d bytes", wire.Size)
+	if wire.Size < 0 || wire.Size > maxFetchBytes {
+		return manifest{}, eris.Errorf("decode configuration: invalid size of %d bytes", wire.Size)
 	}
 	return manifest{age: time.Duration(wire.Age), revision: shelfshelf.Revision(wire.Revision), size: wire.Size, ids: ids}, nil
 }
@@ -97,20 +98,20 @@
 		ids = append(ids, parts.ID(content[:len(parts.ID{})]))
 	}
 	if len(content) > 0 {
-		return nil, eris.New("decode names of parts: the last one is cut off")
+		return nil, eris.New("decode IDs of parts: the last one is truncated")
 	}
 	return ids, nil
 }
 
-func encodeParts(packed [][]byte) ([]byte, error) {
-	content, err := cbor.Marshal(packed)
+func encodeParts(batch [][]byte) ([]byte, error) {
+	content, err := cbor.Marshal(batch)
 	return content, eris.Wrap(err, "encode parts")
 }
 
 func decodeParts(content []byte) ([][]byte, error) {
-	var packed [][]byte
-	err := cbor.Unmarshal(content, &packed)
-	return packed, eris.Wrap(err, "decode parts")
+	var batch [][]byte
+	err := cbor.Unmarshal(content, &batch)
+	return batch, eris.Wrap(err, "decode parts")
 }
 
 func encodeTargets(delta catalog.Delta, now time.Time) ([]byte, error) {
@@ -126,8 +127,8 @@
 			Address:    target.Address,
 			Leaving:    target.Leaving,
 			Slots:      target.Slots,
-			KeptFor:    keptFor(delta.KeptUntil[target.Name], now),
-			BornMillis: bornMillis(target.Born),
+			KeptFor:    remainingNanos(delta.KeptUntil[target.Name], now),
+			BornMillis: unixMillis(target.Born),
 			Version:    string(target.Version),
 			ColdFor:    int64(target.ColdFor),
 		})
@@ -136,29 +137,30 @@
 	return content, eris.Wrap(err, "encode targets")
 }
 
-func bornMillis(born time.Time) int64 {
+func unixMillis(born time.Time) int64 {
 	if born.IsZero() {
 		return 0
 	}
 	return born.UnixMilli()
 }
 
-func bornFromMillis(millis int64) time.Time {
+func timeFromUnixMillis(millis int64) time.Time {
 	if millis == 0 {
 		return time.Time{}
 	}
 	return time.UnixMilli(millis)
 }
 
-func keptFor(until, now time.Time) int64 {
+func remainingNanos(until, now time.Time) int64 {
 	if until.IsZero() {
 		return 0
 	}
 	return int64(max(until.Sub(now), 1))
 }
 
-// decodeTargets reads a list whose age counts from when it was asked for.
-func decodeTargets(content []byte, asked time.Time) (catalog.Delta, error) {
+// decodeTargets decodes a list of targets. The ages in it count back from requestedAt, when the list was
+// requested.
+func decodeTargets(content []byte, requestedAt time.Time) (catalog.Delta, error) {
 	var wire wireTargets
 	if err := cbor.Unmarshal(content, &wire); err != nil {
 		return catalog.Delta{}, eris.Wrap(err, "decode targets")
@@ -166,7 +168,7 @@
 	delta := catalog.Delta{
 		Snapshot: catalog.Snapshot{
 			Version:   wire.Version,
-			At:        asked.Add(-time.Duration(wire.Age)),
+			At:        requestedAt.Add(-time.Duration(wire.Age)),
 			KeptUntil: make(map[shelfshelf.TargetName]time.Time),
 		},
 		Whole: wire.After == 0,
@@ -177,7 +179,7 @@
 	}
 	for _, target := range wire.Targets {
 		if target.KeptFor > 0 {
-			delta.KeptUntil[shelfshelf.TargetName(target.Name)] = asked.Add(time.Duration(target.KeptFor))
+			delta.KeptUntil[shelfshelf.TargetName(target.Name)] = requestedAt.Add(time.Duration(target.KeptFor))
 		}
 		delta.Targets = append(delta.Targets, shelfshelf.Target{
 			Name:       shelfshelf.TargetName(target.Name),
@@ -186,7 +188,7 @@
 			Address:    target.Address,
 			Leaving:    target.Leaving,
 			Slots:      target.Slots,
-			Born:       bornFromMillis(target.BornMillis),
+			Born:       timeFromUnixMillis(target.BornMillis),
 			Version:    shelfshelf.TargetVersion(target.Version),
 			ColdFor:    time.Duration(target.ColdFor),
 		})
