--- a/relay/configuration_test.go
+++ b/relay/configuration_test.go
@@ -171,8 +171,8 @@
 // 1 s. Partial data was discarded, so each retry filled the link again. The logs showed a fetch
 // cut off after 692,104 bytes and 600 ms, and a read of the store after 458,676 of 2,121,514 bytes and
 // 700 ms. Slow senders were ruled out (first byte after 4 ms), and so was a slow processor (2 to 3% of a
-// core in use); instances on 200 Mbit/s had the configuration after 0.2 s. The others kept the previous configuration, refused keys after 4.5 s and
-// answered 404 for the added routes.
+// core in use); instances on 200 Mbit/s had the configuration after 0.2 s. The others kept the
+// previous configuration, refused keys after 4.5 s and answered 404 for the added routes.
 func TestLargeConfigurationsReachSmallInstances(t *testing.T) {
 	t.Parallel()
 	for _, routes := range []int{4250, 20000} {
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -20,74 +20,76 @@
 )
 
 const (
-	// DialTimeout bounds a new connection; the way to a target takes about 1 ms and
-	// its handshake another. A target that is dark or full says nothing for seconds.
+	// DialTimeout bounds the time to open a connection. Reaching a target takes about 1 ms and the
+	// handshake another; a target that is unreachable or overloaded does not respond for seconds.
 	DialTimeout = 150 * time.Millisecond
-	// userTimeout is how long sent bytes may stay unacknowledged.
+	// userTimeout is the TCP_USER_TIMEOUT: how long sent data may remain unacknowledged.
 	userTimeout = 1500 * time.Millisecond
-	// maxIdle is how long an unused connection is kept where the target doesn't say;
-	// servers close or forget them without a word after some time.
-	maxIdle = 4 * time.Second
-	// sweepPeriod is how often connections that are kept for too long are closed.
-	sweepPeriod = 2 * time.Second
-	// keepMargin is how much sooner than the target says a connection is dropped.
-	keepMargin = 500 * time.Millisecond
-	// maxIdlePerTarget bounds the unused connections to one target.
+	// maxIdleTime bounds how long an idle connection is kept, since servers close or silently drop idle
+	// connections after some time. A target can shorten it with a Keep-Alive header.
+	maxIdleTime = 4 * time.Second
+	// idleCheckInterval is how often expired idle connections are closed.
+	idleCheckInterval = 2 * time.Second
+	// keepAliveMargin is subtracted from the Keep-Alive timeout that the target announced.
+	keepAliveMargin = 500 * time.Millisecond
+	// maxIdlePerTarget bounds the idle connections per target.
 	maxIdlePerTarget = 16
-	// maxForeignAnswers bounds how many answers of other requests are skipped.
-	maxForeignAnswers = 3
-	// maxForeignBytes bounds how much of them is read, in bytes.
-	maxForeignBytes = 1 << 20
-	bufferBytes     = 4 << 10
-	// tcpUserTimeout is the socket option's number on Linux; package syscall lacks it.
-	tcpUserTimeout = 0x12
+	// maxUnmatchedResponses bounds how many response heads are read for a request. The responses read
+	// may be informational (1xx) or belong to other requests.
+	maxUnmatchedResponses = 3
+	// maxUnmatchedBytes bounds the body of a response to another request that is skipped.
+	maxUnmatchedBytes = 1 << 20
+	readBufferBytes   = 4 << 10
+	// tcpUserTimeoutOption is TCP_USER_TIMEOUT on Linux, which package syscall does not define.
+	tcpUserTimeoutOption = 0x12
 )
 
-// Request is one request as it goes to a target.
+// Request is a request to a target.
 type Request struct {
 	ID shelfshelf.RequestID
-	// To is the target that the request is meant for.
+	// To is the target that receives the request.
 	To     shelfshelf.Target
 	Method string
-	// Target is the path and query as the caller sent them.
+	// Target is the request target: path and query exactly as received from the caller.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Fresh asks for a new connection, as after a failure on a kept one.
+	// Fresh requires a new connection, for example after a failure on a reused one.
 	Fresh bool
 }
 
-// Response is the head of an answer with its body still to be read.
+// Response is a response whose head has been read and whose body is still to be read.
 type Response struct {
 	Status int
 	Header http.Header
 	Answer shelfshelf.Answer
-	// Length is the body's length in bytes, -1 if it is not told beforehand.
+	// Length is the length of the body in bytes, or -1 if the head does not contain it.
 	Length int64
 
-	client *Client
-	conn   *conn
-	target string
-	http   *http.Response
-	stop   func() bool
-	whole  bool
-	failed bool
+	client          *Client
+	conn            *conn
+	target          string
+	httpResponse    *http.Response
+	stopCancelWatch func() bool
+	complete        bool
+	failed          bool
 }
 
-// Client sends requests to targets. Fields are set before use.
+// Client sends requests to targets. The exported fields must be set before use.
 type Client struct {
 	Clock shelfshelf.Clock
 	Codec shelfshelf.CallCodec
-	// Dial opens a connection; nil means the operating system's way.
+	// Dial opens a connection. If nil, the operating system's dialer is used.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Answered is told of the head of every answer that is read, with when its request was
-	// sent, also of late ones of other requests; nil means nobody.
+	// Answered, if set, is called with the decoded head of each response and the time at which the latest
+	// request on its connection was sent. It is also called for late responses to other requests, if they
+	// contain an announcement of the target.
 	Answered func(target shelfshelf.Target, answer shelfshelf.Answer, sent time.Time)
 
 	mu   sync.Mutex
 	idle map[string][]*conn
-	// opened counts new connections.
+	// opened counts the connections opened so far.
 	opened uint64
 }
 
@@ -98,44 +100,43 @@
 	return c.opened
 }
 
-// Send sends a request to an address and returns when the head of its answer is
-// there. An error is ErrNotRun if not a byte was sent, else ErrBroken.
+// Send sends a request to an address and returns once the head of the response has been read. The error
+// is ErrNotRun if no connection could be opened, so that nothing was sent, and ErrBroken otherwise.
 func (c *Client) Send(ctx context.Context, address string, request Request) (*Response, error) {
-	connection, err := c.connect(ctx, address, request.Fresh)
+	connection, err := c.acquire(ctx, address, request.Fresh)
 	if err != nil {
 		return nil, eris.Wrap(shelfshelf.ErrNotRun, err.Error())
 	}
-	stop := context.AfterFunc(ctx, func() {
-		// A deadline in the past ends reads and writes that wait.
+	stopCancelWatch := context.AfterFunc(ctx, func() {
+		// A deadline in the past unblocks pending reads and writes.
 		_ = connection.SetDeadline(time.Unix(1, 0))
 	})
-	response, err := c.exchange(connection, request)
+	response, err := c.roundTrip(connection, request)
 	if err != nil {
-		stop()
-		return nil, &brokenError{cause: c.giveUp(ctx, connection, request, err)}
+		stopCancelWatch()
+		return nil, &brokenError{cause: c.abandon(ctx, connection, request, err)}
 	}
 	response.target = address
-	response.stop = stop
+	response.stopCancelWatch = stopCancelWatch
 	return response, nil
 }
 
-// Reach opens a connection to an address and keeps it for the next request; the error says
-// why there is none.
+// Reach opens a connection to an address and adds it to the idle connections for the next request.
 func (c *Client) Reach(ctx context.Context, address string) error {
-	connection, err := c.connect(ctx, address, true)
+	connection, err := c.acquire(ctx, address, true)
 	if err != nil {
 		return err
 	}
 	connection.idleSince = c.Clock.Now()
-	c.keep(address, connection)
+	c.putIdle(address, connection)
 	return nil
 }
 
-// connect takes a kept connection or opens one.
-func (c *Client) connect(ctx context.Context, address string, fresh bool) (*conn, error) {
+// acquire returns an idle connection, unless fresh is set, or opens a new one.
+func (c *Client) acquire(ctx context.Context, address string, fresh bool) (*conn, error) {
 	if !fresh {
-		if kept := c.takeIdle(address); kept != nil {
-			return kept, nil
+		if idle := c.takeIdle(address); idle != nil {
+			return idle, nil
 		}
 	}
 	dialed, err := c.dial(ctx, address)
@@ -149,7 +150,7 @@
 	c.mu.Lock()
 	c.opened++
 	c.mu.Unlock()
-	return &conn{Conn: dialed, reader: bufio.NewReaderSize(dialed, bufferBytes)}, nil
+	return &conn{Conn: dialed, reader: bufio.NewReaderSize(dialed, readBufferBytes)}, nil
 }
 
 func (c *Client) dial(ctx context.Context, address string) (net.Conn, error) {
@@ -171,23 +172,24 @@
 			c.mu.Unlock()
 			return nil
 		}
-		kept := list[len(list)-1]
+		idle := list[len(list)-1]
 		c.idle[address] = list[:len(list)-1]
 		c.mu.Unlock()
-		limit := maxIdle
-		if kept.keep > 0 {
-			limit = min(limit, kept.keep-keepMargin)
+		limit := maxIdleTime
+		if idle.keepAlive > 0 {
+			limit = min(limit, idle.keepAlive-keepAliveMargin)
 		}
-		if now.Sub(kept.idleSince) < limit && kept.quiet() {
-			kept.used = true
-			return kept
+		if now.Sub(idle.idleSince) < limit && idle.openAndDrained() {
+			idle.reused = true
+			return idle
 		}
-		_ = kept.Close()
+		_ = idle.Close()
 	}
 }
 
-// exchange writes the request and reads heads until the one of this request.
-func (c *Client) exchange(connection *conn, request Request) (*Response, error) {
+// roundTrip writes the request and reads response heads until the one with this request's ID. It skips
+// informational responses and responses to other requests.
+func (c *Client) roundTrip(connection *conn, request Request) (*Response, error) {
 	wire, err := encodeRequest(request)
 	if err != nil {
 		return nil, err
@@ -196,62 +198,62 @@
 	if _, err := connection.Write(wire); err != nil {
 		return nil, err
 	}
-	for range maxForeignAnswers {
-		if err := connection.await(); err != nil {
+	for range maxUnmatchedResponses {
+		if err := connection.awaitResponse(); err != nil {
 			return nil, err
 		}
-		//nolint:bodyclose // the connection is closed or kept as a whole by Response.Close.
-		answer, err := http.ReadResponse(connection.reader, &http.Request{Method: request.Method})
+		//nolint:bodyclose // Response.Close closes or keeps the whole connection.
+		response, err := http.ReadResponse(connection.reader, &http.Request{Method: request.Method})
 		if err != nil {
 			return nil, err
 		}
-		if answer.StatusCode < http.StatusOK {
+		if response.StatusCode < http.StatusOK {
 			continue
 		}
-		meaning := c.meaning(connection, request, answer)
-		if meaning.ID == request.ID {
+		answer := c.reportAnswer(connection, request, response)
+		if answer.ID == request.ID {
 			return &Response{
-				Status: answer.StatusCode,
-				Header: answer.Header,
-				Answer: meaning,
-				Length: answer.ContentLength,
-				client: c,
-				conn:   connection,
-				http:   answer,
+				Status:       response.StatusCode,
+				Header:       response.Header,
+				Answer:       answer,
+				Length:       response.ContentLength,
+				client:       c,
+				conn:         connection,
+				httpResponse: response,
 			}, nil
 		}
-		if err := skip(answer); err != nil {
+		if err := discardResponse(response); err != nil {
 			return nil, err
 		}
 	}
-	return nil, errors.New("only answers of other requests came")
+	return nil, errors.New("no response matched the request ID")
 }
 
-// meaning reads what a target says with an answer, and tells it on.
-func (c *Client) meaning(connection *conn, request Request, answer *http.Response) shelfshelf.Answer {
-	meaning := c.Codec.Answer(answer.StatusCode, answer.Header)
-	if c.Answered != nil && (meaning.ID == request.ID || meaning.Announces()) {
-		c.Answered(request.To, meaning, connection.sentAt)
+// reportAnswer decodes the head of a response and passes it to Answered.
+func (c *Client) reportAnswer(connection *conn, request Request, response *http.Response) shelfshelf.Answer {
+	answer := c.Codec.Answer(response.StatusCode, response.Header)
+	if c.Answered != nil && (answer.ID == request.ID || answer.Announces()) {
+		c.Answered(request.To, answer, connection.sentAt)
 	}
-	return meaning
+	return answer
 }
 
-// skip reads over the answer of another request.
-func skip(answer *http.Response) error {
-	if answer.ContentLength < 0 && len(answer.TransferEncoding) == 0 {
-		return errors.New("an answer of another request has no end")
+// discardResponse reads and discards the body of a response to another request.
+func discardResponse(response *http.Response) error {
+	if response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
+		return errors.New("response to another request has no length")
 	}
-	read, err := io.Copy(io.Discard, io.LimitReader(answer.Body, maxForeignBytes))
+	read, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxUnmatchedBytes))
 	if err != nil {
 		return err
 	}
-	if read == maxForeignBytes {
-		return errors.New("an answer of another request is too long")
+	if read == maxUnmatchedBytes {
+		return errors.New("response to another request is too long")
 	}
 	return nil
 }
 
-// encodeRequest writes the request as it goes on the wire, with a length.
+// encodeRequest encodes the request for the wire, with a Content-Length if it has a body.
 func encodeRequest(request Request) ([]byte, error) {
 	target, err := url.ParseRequestURI(request.Target)
 	if err != nil {
@@ -263,13 +265,13 @@
 		Host:   request.Host,
 		Header: request.Header,
 	}
-	outgoing.URL.Opaque = opaque(request.Target)
+	outgoing.URL.Opaque = opaquePath(request.Target)
 	if len(request.Body) > 0 {
 		outgoing.Body = io.NopCloser(bytes.NewReader(request.Body))
 		outgoing.ContentLength = int64(len(request.Body))
 	}
 	if _, set := request.Header["User-Agent"]; !set {
-		// An empty value keeps net/http from adding its own.
+		// An empty value prevents net/http from adding its own User-Agent.
 		request.Header["User-Agent"] = []string{""}
 	}
 	var wire bytes.Buffer
@@ -280,9 +282,9 @@
 	return wire.Bytes(), nil
 }
 
-// opaque makes net/http send a path byte for byte; it would read one that begins
-// with two slashes as a host.
-func opaque(target string) string {
+// opaquePath returns the path for URL.Opaque, which makes net/http send it unchanged. It returns an empty
+// string for a path that begins with two slashes, which net/http would interpret as a host.
+func opaquePath(target string) string {
 	path, _, _ := strings.Cut(target, "?")
 	if strings.HasPrefix(path, "//") {
 		return ""
@@ -290,12 +292,12 @@
 	return path
 }
 
-// Read reads the body. The end is io.EOF only if the answer is whole.
+// Read reads the body. It returns io.EOF only at the end of a complete response.
 func (r *Response) Read(buffer []byte) (int, error) {
-	n, err := r.http.Body.Read(buffer)
+	n, err := r.httpResponse.Body.Read(buffer)
 	switch {
 	case err == io.EOF:
-		r.whole = true
+		r.complete = true
 	case err != nil:
 		r.failed = true
 		if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -305,28 +307,28 @@
 	return n, err
 }
 
-// Framed reports that the answer tells where it ends; one that doesn't ends with
-// its connection.
+// Framed reports whether the response has a length or is chunked. Otherwise it ends when the connection is
+// closed.
 func (r *Response) Framed() bool {
-	return r.Length >= 0 || len(r.http.TransferEncoding) > 0
+	return r.Length >= 0 || len(r.httpResponse.TransferEncoding) > 0
 }
 
-// Close ends the exchange. A connection whose answer was read to its end is kept
-// for the next request if nothing speaks against it; else it is closed, which
-// makes most targets stop their work.
+// Close ends the round trip. The connection is kept for the next request if the response was read
+// completely and the connection is reusable. Otherwise it is closed, which makes most targets stop
+// processing the request.
 func (r *Response) Close() {
-	undisturbed := r.stop()
-	reusable := undisturbed && r.whole && !r.failed && r.Framed() && !r.http.Close && r.conn.reader.Buffered() == 0
+	notCancelled := r.stopCancelWatch()
+	reusable := notCancelled && r.complete && !r.failed && r.Framed() && !r.httpResponse.Close && r.conn.reader.Buffered() == 0
 	if !reusable {
 		_ = r.conn.Close()
 		return
 	}
 	r.conn.idleSince = r.client.Clock.Now()
-	r.conn.keep = keepAlive(r.Header)
-	r.client.keep(r.target, r.conn)
+	r.conn.keepAlive = parseKeepAlive(r.Header)
+	r.client.putIdle(r.target, r.conn)
 }
 
-func (c *Client) keep(address string, connection *conn) {
+func (c *Client) putIdle(address string, connection *conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.idle == nil {
@@ -339,8 +341,8 @@
 	c.idle[address] = append(c.idle[address], connection)
 }
 
-// Run closes kept connections that nobody has used for long, also those to targets
-// that are gone, until the context ends; then it closes all.
+// Run closes expired idle connections, including those to removed targets, until the context is cancelled.
+// Then it closes all idle connections.
 func (c *Client) Run(ctx context.Context) error {
 	return c.loop(ctx)
 }
@@ -349,24 +351,24 @@
 	for {
 		select {
 		case <-ctx.Done():
-			c.sweep(0)
+			c.closeIdle(0)
 			return nil
-		case <-c.Clock.After(sweepPeriod):
-			c.sweep(maxIdle)
+		case <-c.Clock.After(idleCheckInterval):
+			c.closeIdle(maxIdleTime)
 		}
 	}
 }
 
-// sweep closes what has been idle for so long.
-func (c *Client) sweep(limit time.Duration) {
+// closeIdle closes the connections that have been idle for at least limit.
+func (c *Client) closeIdle(limit time.Duration) {
 	now := c.Clock.Now()
 	c.mu.Lock()
-	var old []*conn
+	var expired []*conn
 	for address, list := range c.idle {
 		var kept []*conn
 		for _, connection := range list {
 			if now.Sub(connection.idleSince) >= limit {
-				old = append(old, connection)
+				expired = append(expired, connection)
 				continue
 			}
 			kept = append(kept, connection)
@@ -377,7 +379,7 @@
 		}
 	}
 	c.mu.Unlock()
-	for _, connection := range old {
+	for _, connection := range expired {
 		_ = connection.Close()
 	}
 }
--- a/upstream/conn.go
+++ b/upstream/conn.go
@@ -13,70 +13,70 @@
 	"time"
 )
 
-// conn is one connection to a target.
+// conn is a connection to a target.
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// idleSince is when its last answer ended, and keep how long the target says
-	// that it keeps it; zero if it didn't say.
+	// idleSince is the time at which the connection became idle. keepAlive is the Keep-Alive timeout that
+	// the target announced, or zero.
 	idleSince time.Time
-	keep      time.Duration
-	used      bool
-	// sentAt is when its latest request was sent, and awaiting says that no byte of an answer
-	// to it has come.
-	sentAt   time.Time
-	awaiting bool
+	keepAlive time.Duration
+	reused    bool
+	// sentAt is when the latest request was sent. awaitingResponse is true while the client waits for the
+	// first byte of a response.
+	sentAt           time.Time
+	awaitingResponse bool
 }
 
-// await waits for the first byte of an answer, which is left to be read.
-func (c *conn) await() error {
-	c.awaiting = true
+// awaitResponse waits for the first byte of a response without consuming it.
+func (c *conn) awaitResponse() error {
+	c.awaitingResponse = true
 	if _, err := c.reader.Peek(1); err != nil {
 		if errors.Is(err, io.EOF) {
 			return io.ErrUnexpectedEOF
 		}
 		return err
 	}
-	c.awaiting = false
+	c.awaitingResponse = false
 	return nil
 }
 
-// quiet reports that the connection is open and holds no bytes that nobody asked
-// for. It looks at the socket without taking anything or waiting.
-func (c *conn) quiet() bool {
+// openAndDrained reports whether the connection is open and has no unread data. It peeks at the socket
+// without blocking.
+func (c *conn) openAndDrained() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
 	raw, ok := c.Conn.(syscall.Conn)
 	if !ok {
-		return c.nothingToRead()
+		return c.hasNoPendingData()
 	}
 	control, err := raw.SyscallConn()
 	if err != nil {
 		return false
 	}
-	quiet := false
+	drained := false
 	err = control.Read(func(fd uintptr) bool {
-		var one [1]byte
-		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = err == syscall.EAGAIN
+		var buffer [1]byte
+		_, _, err := syscall.Recvfrom(int(fd), buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		drained = err == syscall.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && drained
 }
 
-// nothingToRead is quiet for connections without a socket: a read that waits for nothing finds
-// neither bytes nor an end.
-func (c *conn) nothingToRead() bool {
+// hasNoPendingData implements openAndDrained for connections without a socket: a read with an expired
+// deadline finds neither data nor EOF.
+func (c *conn) hasNoPendingData() bool {
 	if err := c.SetReadDeadline(time.Unix(1, 0)); err != nil {
 		return false
 	}
-	_, found := c.reader.Peek(1)
-	return errors.Is(found, os.ErrDeadlineExceeded) && c.SetReadDeadline(time.Time{}) == nil
+	_, peekErr := c.reader.Peek(1)
+	return errors.Is(peekErr, os.ErrDeadlineExceeded) && c.SetReadDeadline(time.Time{}) == nil
 }
 
-// setUserTimeout makes the kernel give a connection up when what was sent is not
-// acknowledged for so long: a target behind a cut says nothing at all.
+// setUserTimeout makes the kernel abort a connection when sent data stays unacknowledged for longer than
+// limit. A target behind a network partition sends nothing at all, not even a reset.
 func setUserTimeout(connection net.Conn, limit time.Duration) error {
 	tcp, ok := connection.(*net.TCPConn)
 	if !ok {
@@ -86,19 +86,18 @@
 	if err != nil {
 		return err
 	}
-	var failed error
+	var optionErr error
 	err = control.Control(func(fd uintptr) {
-		failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(limit.Milliseconds()))
+		optionErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeoutOption, int(limit.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return optionErr
 }
 
-// keepAlive reads how long a target keeps an idle connection; zero if it doesn't
-// say.
-func keepAlive(header http.Header) time.Duration {
+// parseKeepAlive returns the timeout in the Keep-Alive header, or zero if there is none.
+func parseKeepAlive(header http.Header) time.Duration {
 	for item := range strings.SplitSeq(header.Get("Keep-Alive"), ",") {
 		text, found := strings.CutPrefix(strings.TrimSpace(item), "timeout=")
 		if !found {
@@ -106,7 +105,7 @@
 		}
 		seconds, err := strconv.Atoi(text)
 		if err != nil {
-			continue // a time that can't be read counts as none
+			continue // Treat an invalid timeout as missing.
 		}
 		return time.Duration(seconds) * time.Second
 	}
--- a/upstream/doc.go
+++ b/upstream/doc.go
@@ -1,7 +1,7 @@
-// Package upstream sends requests to targets over HTTP/1.1, each at most once a
-// call, and tells an attempt that provably sent nothing from one that may have run.
+// Package upstream sends requests to targets over HTTP/1.1, at most once per call, and distinguishes
+// attempts that sent nothing from attempts that the target may have executed.
 //
-// It keeps connections itself, because what a target sends on them decides whether
-// they may be used again: an answer of another request, bytes after a whole answer,
-// or an answer without a length end a connection's use.
+// It has its own connection pool, because what a target sends on a connection decides whether the
+// connection can be reused: it is closed after a response to another request that is too long or has no
+// length, after extra bytes behind a complete response and after a response without a length.
 package upstream
--- a/upstream/errors.go
+++ b/upstream/errors.go
@@ -8,23 +8,22 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-// brokenError is an exchange that broke off after its request was sent.
+// brokenError reports a round trip that failed after the client began to send the request.
 type brokenError struct {
 	cause error
 }
 
-// Error names the cause.
+// Error returns the text of the cause, followed by that of ErrBroken.
 func (e *brokenError) Error() string {
 	return e.cause.Error() + ": " + shelfshelf.ErrBroken.Error()
 }
 
-// Unwrap makes the error an ErrBroken besides its cause.
+// Unwrap makes the error match both ErrBroken and its cause.
 func (e *brokenError) Unwrap() []error {
 	return []error{shelfshelf.ErrBroken, e.cause}
 }
 
-// ClosedByTarget reports that an exchange broke off because the target's end of the
-// connection was closed or reset.
+// ClosedByTarget reports whether a round trip failed because the target closed or reset the connection.
 func ClosedByTarget(err error) bool {
 	for _, closed := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(err, closed) {
--- a/upstream/late_response.go
+++ b/upstream/late_response.go
@@ -6,36 +6,37 @@
 	"time"
 )
 
-// underWay is how long an answer that a target has given may take to come.
-const underWay = 20 * time.Millisecond
+// lateResponseTimeout bounds the wait for a response that the target may already have sent.
+const lateResponseTimeout = 20 * time.Millisecond
 
-// giveUp ends an exchange without an answer, and returns why. Where nobody waits for the answer any
-// more, it is still read if it is under way: its target may say with it that it leaves or wants
-// rest.
-func (c *Client) giveUp(ctx context.Context, connection *conn, request Request, cause error) error {
+// abandon ends a round trip that failed, and returns the error. If the caller's context has ended, a
+// response that is already in transit is still read, because with it the target may announce that it is
+// leaving or asks for a pause.
+func (c *Client) abandon(ctx context.Context, connection *conn, request Request, cause error) error {
 	if ctx.Err() == nil {
 		_ = connection.Close()
 		return cause
 	}
-	if connection.awaiting {
-		go c.runLate(connection, request)
+	if connection.awaitingResponse {
+		go c.readLateResponse(connection, request)
 	} else {
 		_ = connection.Close()
 	}
 	return ctx.Err()
 }
 
-// runLate reads the head of an answer that nobody waits for, if it comes within a moment.
-func (c *Client) runLate(connection *conn, request Request) {
-	ending := time.AfterFunc(underWay, func() { _ = connection.Close() })
-	defer ending.Stop()
+// readLateResponse reads and reports the head of a response whose caller has left, if it arrives within
+// lateResponseTimeout. Then it closes the connection.
+func (c *Client) readLateResponse(connection *conn, request Request) {
+	closeTimer := time.AfterFunc(lateResponseTimeout, func() { _ = connection.Close() })
+	defer closeTimer.Stop()
 	defer func() { _ = connection.Close() }()
 	if connection.SetDeadline(time.Time{}) != nil {
 		return
 	}
-	//nolint:bodyclose // the connection is closed as a whole.
-	answer, err := http.ReadResponse(connection.reader, &http.Request{Method: request.Method})
+	//nolint:bodyclose // The whole connection is closed.
+	response, err := http.ReadResponse(connection.reader, &http.Request{Method: request.Method})
 	if err == nil {
-		c.meaning(connection, request, answer)
+		c.reportAnswer(connection, request, response)
 	}
 }
--- a/upstream/late_response_test.go
+++ b/upstream/late_response_test.go
@@ -14,88 +14,88 @@
 	"github.com/shelfshelf/shelfshelf/upstream"
 )
 
-// heard returns a client whose answers' meanings are sent to the channel.
-func heard() (*upstream.Client, chan shelfshelf.Answer) {
-	words := make(chan shelfshelf.Answer, 10)
+// newReportingClient returns a client and a channel that receives each decoded answer.
+func newReportingClient() (*upstream.Client, chan shelfshelf.Answer) {
+	answers := make(chan shelfshelf.Answer, 10)
 	client := newClient()
-	client.Answered = func(_ shelfshelf.Target, answer shelfshelf.Answer, _ time.Time) { words <- answer }
-	return client, words
+	client.Answered = func(_ shelfshelf.Target, answer shelfshelf.Answer, _ time.Time) { answers <- answer }
+	return client, answers
 }
 
-// What a target says of itself is heard also from an answer that comes as the caller of its
-// request has just left, or its time is over, as it is where a target gives up a request in its
-// queue at the same deadline; and from one of another request. A caller that left while the word
-// was under way kept the instance from knowing that its target leaves.
-func TestWordsAreHeardWhoeverWaits(t *testing.T) {
+// A target's announcement is read even if its response arrives just after the caller disconnected or the
+// deadline passed, as when a target drops a queued request at the same deadline, and also from a response
+// to another request. Otherwise an instance does not learn that a target is leaving if the caller
+// disconnects while the response is in transit.
+func TestLateAnswersAreReported(t *testing.T) {
 	leaving := "HTTP/1.1 200 OK\r\nX-Shelfshelf-Request-Id: %s\r\nServer-Leaving: 1\r\nContent-Length: 0\r\n\r\n"
-	for name, within := range map[string]func(context.Context) (context.Context, context.CancelFunc){
-		"the caller has left": func(ctx context.Context) (context.Context, context.CancelFunc) {
-			ctx, leave := context.WithCancel(ctx)
-			time.AfterFunc(20*time.Millisecond, leave)
-			return ctx, leave
+	for name, contextFor := range map[string]func(context.Context) (context.Context, context.CancelFunc){
+		"the caller disconnected": func(ctx context.Context) (context.Context, context.CancelFunc) {
+			ctx, cancel := context.WithCancel(ctx)
+			time.AfterFunc(20*time.Millisecond, cancel)
+			return ctx, cancel
 		},
-		"the time is over": func(ctx context.Context) (context.Context, context.CancelFunc) {
+		"the deadline passed": func(ctx context.Context) (context.Context, context.CancelFunc) {
 			return context.WithTimeout(ctx, 20*time.Millisecond)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			ctx, cancel := within(context.Background())
+			ctx, cancel := contextFor(context.Background())
 			defer cancel()
-			s := serve(t, func(int, int, string) (string, bool) {
+			s := startServer(t, func(int, int, string) (string, bool) {
 				<-ctx.Done()
 				time.Sleep(2 * time.Millisecond)
 				return fmt.Sprintf(leaving, "a"), true
 			})
-			client, words := heard()
+			client, answers := newReportingClient()
 			defer closeAll(client)
-			_, _ = ask(ctx, client, s.address(), "a")
+			_, _ = send(ctx, client, s.address(), "a")
 			select {
-			case word := <-words:
-				if !word.Leaving {
-					t.Errorf("%+v", word)
+			case answer := <-answers:
+				if !answer.Leaving {
+					t.Errorf("%+v", answer)
 				}
 			case <-time.After(time.Second):
-				t.Error("nothing was heard")
+				t.Error("no answer was reported")
 			}
 		})
 	}
-	t.Run("another request's answer", func(t *testing.T) {
-		s := serve(t, func(_, _ int, id string) (string, bool) {
-			return fmt.Sprintf(leaving, "other") + whole(id, "x"), true
+	t.Run("response to another request", func(t *testing.T) {
+		s := startServer(t, func(_, _ int, id string) (string, bool) {
+			return fmt.Sprintf(leaving, "other") + okResponse(id, "x"), true
 		})
-		client, words := heard()
+		client, answers := newReportingClient()
 		defer closeAll(client)
-		if _, err := ask(context.Background(), client, s.address(), "a"); err != nil {
+		if _, err := send(context.Background(), client, s.address(), "a"); err != nil {
 			t.Fatal(err)
 		}
-		if word := <-words; !word.Leaving {
-			t.Errorf("%+v", word)
+		if answer := <-answers; !answer.Leaving {
+			t.Errorf("%+v", answer)
 		}
 	})
 }
 
-// An attempt whose caller has left ends at once, whatever is still listened for, and its target
-// learns of it within a moment.
-func TestWordsUnderWayHoldNobodyUp(t *testing.T) {
+// A cancelled attempt returns at once, even while a late response is still awaited, and the target's
+// connection is closed promptly.
+func TestCancelledCallsReturnAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		closed := make(chan time.Duration, 1)
 		client := newClient()
 		client.Dial = func(context.Context, string, string) (net.Conn, error) {
-			here, there := net.Pipe()
+			clientEnd, serverEnd := net.Pipe()
 			go func() {
-				_, _ = io.Copy(io.Discard, there)
+				_, _ = io.Copy(io.Discard, serverEnd)
 				closed <- time.Since(began)
 			}()
-			return here, nil
+			return clientEnd, nil
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		time.AfterFunc(30*time.Millisecond, cancel)
-		if _, err := ask(ctx, client, "t:80", "a"); !errors.Is(err, context.Canceled) || time.Since(began) != 30*time.Millisecond {
+		if _, err := send(ctx, client, "t:80", "a"); !errors.Is(err, context.Canceled) || time.Since(began) != 30*time.Millisecond {
 			t.Errorf("%v after %v", err, time.Since(began))
 		}
 		if after := <-closed; after > 100*time.Millisecond {
-			t.Errorf("the target learnt of it after %v", after)
+			t.Errorf("the connection was closed after %v", after)
 		}
 	})
 }
