--- a/announced.go
+++ b/announced.go
@@ -19,8 +19,8 @@
 	return !math.IsNaN(l.PerSecond) && !math.IsInf(l.PerSecond, 0) && l.PerSecond >= 0
 }
 
-// TargetWord is what an instance knows of the announcements that a target makes in its response
-// headers: its rate limit, that it is draining, and a back-off period.
+// TargetWord is what an instance knows of the announcements that a target makes in its response headers:
+// its rate limit, that it is shutting down, and a backoff.
 type TargetWord struct {
 	Target TargetKey
 	// Born is the start time of the target's process that made the announcement; zero if targets don't
@@ -31,11 +31,11 @@
 	// Version increases with each change of the limit by the same process. The highest version wins,
 	// independent of clocks and of delayed messages. It is 0 if no limit was ever announced.
 	Version uint64
-	// Leaving is set once the target has announced that it is about to stop; the same process never
+	// Leaving is set once the target has announced that it is shutting down; the same process never
 	// revokes that.
 	Leaving bool
-	// RestUntil is the end of the back-off that the target has asked of this instance alone, so it is
-	// not passed on to other instances. It is never moved to an earlier time.
+	// RestUntil is the end of the backoff that the target has asked of this instance alone, so it is not
+	// passed on to other instances. It is never moved to an earlier time.
 	RestUntil time.Time
 }
 
--- a/bundle.go
+++ b/bundle.go
@@ -103,7 +103,7 @@
 	// Rank orders customers and takes precedence over the tiers of their routes; 0 comes first.
 	Rank   int
 	Limits Limits
-	// Homes are the regions that may serve the customer's requests.
+	// Homes are the allowed regions of the customer's requests.
 	Homes Homes
 	// Routes are the routes that the customer may call; empty means all.
 	Routes []RouteName
@@ -166,7 +166,7 @@
 	Public bool
 	// Resumable is set if a broken stream may be resumed at another target.
 	Resumable bool
-	// Homes are the regions that may serve the route's requests. The customer's Homes apply as well.
+	// Homes are the allowed regions of the route's requests. Those of the customer apply as well.
 	Homes Homes
 }
 
@@ -184,7 +184,7 @@
 	DataCentre DataCentre
 	// Address is the target's base URL.
 	Address string
-	// Leaving is set if the target is draining and gets no new requests.
+	// Leaving is set if the target is shutting down and gets no new requests.
 	Leaving bool
 	// Born is the start time of the target's process by its own clock; zero if it is not reported.
 	Born time.Time
@@ -241,7 +241,7 @@
 	return Route{}, false
 }
 
-// PoolTargets returns all targets of a pool, including those that are draining.
+// PoolTargets returns all targets of a pool, including those that are shutting down.
 func (b *Bundle) PoolTargets(name PoolName) []Target {
 	var targets []Target
 	for _, target := range b.Targets {
--- a/call.go
+++ b/call.go
@@ -75,11 +75,11 @@
 	// parsed, or else empty.
 	Limit       RateLimit
 	LimitUnread string
-	// Leaving is set if the target announces that it is about to stop and wants no more requests.
+	// Leaving is set if the target announces that it is shutting down and wants no more requests.
 	// LeavingUnread is the text of the header if it could not be parsed.
 	Leaving       bool
 	LeavingUnread string
-	// Rest is the back-off that a target asks of this instance when it rejects a request; 0 if there is
+	// Rest is the backoff that a target asks of this instance when it rejects a request; 0 if there is
 	// none. RestUnread is the text of the header if it could not be parsed.
 	Rest       time.Duration
 	RestUnread string
--- a/catalog.go
+++ b/catalog.go
@@ -16,16 +16,16 @@
 	Bundle   *Bundle
 	// Encoded is the encoding in which instances exchange the configuration.
 	Encoded []byte
-	// Flaws are the fields that can't be parsed. They don't prevent the configuration from being in
+	// Flaws are the fields that can't be decoded. They don't prevent the configuration from being in
 	// force.
 	Flaws []Flaw
 }
 
-// Flaw is a field of a configuration that can't be parsed.
+// Flaw is a field of a configuration that can't be decoded.
 type Flaw struct {
 	// Place names the field and what it belongs to, such as "route r1: AllowedRegions".
 	Place string
-	// Reason is the parse error.
+	// Reason is the decoding error.
 	Reason error
 	// Effect describes what applies instead.
 	Effect string
@@ -38,15 +38,15 @@
 	// Rollouts are the rollouts that were read, with their progress. They include the newest of all
 	// that had been ordered at the source's position Cursor.
 	Rollouts []Rollout
-	// Evacuations are the changes that were read of evacuated data centres.
+	// Evacuations holds the changes to the evacuated data centres.
 	Evacuations EvacuationUpdate
-	// UnreadableOrders are entries in the place of rollout orders that are not valid orders.
+	// UnreadableOrders are the rollout entries that can't be decoded.
 	UnreadableOrders []UnreadableOrder
 	// Cursor is the position from which the next read continues.
 	Cursor uint64
 }
 
-// UnreadableOrder is an entry that should be a rollout order but is not valid.
+// UnreadableOrder is a rollout entry that can't be decoded.
 type UnreadableOrder struct {
 	Name string
 	// Reason is the error, including the name of the field.
@@ -59,7 +59,7 @@
 	Whole   bool
 	Changed []Target
 	Removed []TargetName
-	// Unreadable are entries that don't describe a usable target.
+	// Unreadable are the entries that don't decode to a usable target.
 	Unreadable []UnreadableTarget
 	// Version orders the lists: a newer list has a greater version.
 	Version uint64
@@ -67,7 +67,7 @@
 	Cursor uint64
 }
 
-// UnreadableTarget is an entry of the list that doesn't describe a usable target. Other programs write
+// UnreadableTarget is an entry of the list that doesn't decode to a usable target. Other programs write
 // to the list too.
 type UnreadableTarget struct {
 	Name TargetName
--- a/heartbeat.go
+++ b/heartbeat.go
@@ -16,7 +16,7 @@
 	// instance. StoreAge is the time since that read.
 	StoreSeen bool
 	StoreAge  time.Duration
-	// Leaving lists the targets that the sender knows to be draining.
+	// Leaving lists the targets that the sender knows to be shutting down.
 	Leaving []TargetName
 	// Known lists the instances from which the sender receives heartbeats.
 	Known []Instance
@@ -31,8 +31,8 @@
 	// Ask requests a decision from the owner of a pool; errors are ErrOwnerUnreachable or that of the
 	// context.
 	Ask(ctx context.Context, to Instance, ask Ask) (Ticket, error)
-	// Hold registers a request with the new owner of its pool that an earlier owner has granted. The
-	// returned ticket holds the earlier decision.
+	// Hold tells the new owner of a pool of a request that an earlier owner has granted. The returned
+	// ticket holds the earlier decision.
 	Hold(ctx context.Context, to Instance, ask Ask, decision Decision) (Ticket, error)
 	// GetObject returns the signed bundle with the given digest.
 	GetObject(ctx context.Context, to Instance, digest string) ([]byte, error)
--- a/homes.go
+++ b/homes.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// Homes are the regions that may serve a request; the zero value allows all.
+// Homes are the allowed regions of a request: those whose targets may serve it. The zero value allows
+// all.
 type Homes struct {
 	// Bound is set if only Regions are allowed; Regions may then be empty, which allows none.
 	Bound   bool
--- a/request.go
+++ b/request.go
@@ -60,7 +60,7 @@
 	// RefusedOrder means that requests of a higher tier are refused too often for this request to be
 	// given a target.
 	RefusedOrder
-	// RefusedRest means that the back-off of all targets lasts longer than the request can wait.
+	// RefusedRest means that the backoff of all targets lasts longer than the request can wait.
 	RefusedRest
 )
 
@@ -134,7 +134,7 @@
 	StepTime time.Duration
 	// ExpectedStepTime is the duration of such steps at the declared speed.
 	ExpectedStepTime time.Duration
-	// Leaving is set if the target is draining and wants no new requests.
+	// Leaving is set if the target is shutting down and wants no new requests.
 	Leaving bool
 }
 
--- a/rollout.go
+++ b/rollout.go
@@ -44,21 +44,21 @@
 // Over reports whether the rollout has ended; these states are final.
 func (s RolloutState) Over() bool { return s == RolloutCompleted || s == RolloutRolledBack }
 
-// Rollout is an operator's order to move a pool's requests to targets of another version, together with
-// its progress.
+// Rollout is the move of a pool's requests to targets of another version, as ordered by an operator,
+// together with its progress.
 type Rollout struct {
 	Pool PoolName
 	// Revision orders the rollouts of a pool: one with a greater revision replaces the others.
 	Revision uint64
 	Version  TargetVersion
-	// Period is the time, counted from the order, within which the rollout should end.
+	// Period is the time within which the rollout should end, counted from when it was ordered.
 	Period time.Duration
-	// Age is the time since the order was given.
+	// Age is the time since the rollout was ordered.
 	Age   time.Duration
 	State RolloutState
 	// Moving is the time since traffic began to shift to the new version; zero before that.
 	Moving time.Duration
-	// Doubted is the age of the order until which the trial gets a larger share of the requests,
+	// Doubted is the age of the rollout until which the trial gets a larger share of the requests,
 	// because the results so far speak against the new version but are not conclusive.
 	Doubted time.Duration
 	// Halted is set once an instance has judged the new version to be bad. From then on no instance
@@ -71,9 +71,9 @@
 	Stored uint64
 }
 
-// Adds reports whether r holds information about a pool's rollout that known lacks: it is of a later
-// order, or of the same order with a later state, a new halt, a newer stored row or a longer trial. This
-// can be true in both directions.
+// Adds reports whether r holds information about a pool's rollout that known lacks: it has a greater
+// revision, or the same revision with a later state, a new halt, a newer stored row or a longer trial.
+// Of two rollouts, each can add to the other.
 func (r Rollout) Adds(known Rollout) bool {
 	if r.Revision != known.Revision {
 		return r.Revision > known.Revision
--- a/status.go
+++ b/status.go
@@ -24,15 +24,15 @@
 	// SourceLost is set if the sender's reads of the platform's store fail.
 	SourceLost bool
 	// Settled is set if the sender has been running for a whole quota window. Recalled is set if it has
-	// learnt, as far as any instance knows, what was used before it started.
+	// learnt the customers' usage from before it started, as far as any instance knows it.
 	Settled  bool
 	Recalled bool
-	// Loads is the load that the sender has in flight at targets. Uses is what customers have used at
-	// the sender.
+	// Loads is the load that the sender has in flight at targets. Uses is the usage of customers at the
+	// sender.
 	Loads []TargetLoad
 	Uses  []CustomerUse
-	// EndedUses is what customers had used at instances of the data centre that have ended or are
-	// silent. A restarted instance learns from it what it had used before the restart.
+	// EndedUses is the usage of customers at instances of the data centre that have ended or are silent.
+	// A restarted instance learns from it the usage at itself before the restart.
 	EndedUses []CustomerUse
 	// Speeds are the observed speeds of targets since the sender's last status.
 	Speeds []TargetSpeed
@@ -62,7 +62,7 @@
 	Instances int
 	// Settled is set if the digest's sender has been running for a whole quota window.
 	Settled bool
-	// Members are the instances of the data centre that may own engines.
+	// Members are the instances of the data centre that may own targets.
 	Members []Member
 	Loads   []TargetLoad
 	Uses    []CustomerUse
@@ -102,16 +102,16 @@
 // CustomerKey is a hash of a customer's name, used in messages for its size; see KeyOfCustomer.
 type CustomerKey uint32
 
-// CustomerUse is what a customer has used within the window of its limit, in the unit of the limit.
+// CustomerUse is the usage of a customer within the window of its limit, in the unit of the limit.
 type CustomerUse struct {
 	Customer CustomerKey
 	Amount   float64
 }
 
-// UseParts is the number of time buckets that a saved use divides the window into.
+// UseParts is the number of time buckets into which saved usage divides the window.
 const UseParts = 8
 
-// SavedUse is what a customer had used at the instances of a data centre, in the unit of its limit, by
+// SavedUse is the usage of a customer at the instances of a data centre, in the unit of its limit, by
 // equal time buckets of the window; the newest bucket comes first.
 type SavedUse struct {
 	DataCentre DataCentre
@@ -119,7 +119,7 @@
 	Parts      [UseParts]float64
 }
 
-// SavedUses is what customers had used at all instances at the time of saving.
+// SavedUses is the usage of customers at all instances at the time of saving.
 type SavedUses struct {
 	Uses []SavedUse
 	// Age is the time since it was saved.
--- a/store.go
+++ b/store.go
@@ -48,7 +48,7 @@
 const (
 	// InstanceLive means that the instance should be running.
 	InstanceLive InstanceState = iota + 1
-	// InstanceLeaving means that the instance is about to stop.
+	// InstanceLeaving means that the instance is shutting down.
 	InstanceLeaving
 )
 
@@ -68,11 +68,11 @@
 type InstanceList interface {
 	// Instances returns the platform's current list.
 	Instances(ctx context.Context) ([]Instance, error)
-	// LeavingTargets returns the targets that the platform is about to stop.
+	// LeavingTargets returns the targets that the platform is about to shut down.
 	LeavingTargets(ctx context.Context) ([]TargetName, error)
 }
 
-// UseStore persists what customers have used, for instances that start after all others have ended.
+// UseStore persists the usage of customers, for instances that start after all others have ended.
 type UseStore interface {
 	// SaveUses replaces the stored usage.
 	SaveUses(ctx context.Context, uses []SavedUse) error
