--- a/announced/change.go
+++ b/announced/change.go
@@ -12,20 +12,20 @@
 	announcement   shelfshelf.TargetWord
 	limitChanged   bool
 	leavingChanged bool
-	restChanged    bool
+	backoffChanged bool
 	// limitReportDue means that a changed limit is due to be logged and, if this instance read it, sent
-	// to the others at once. restLogDue means that a changed rest is due to be logged.
+	// to the others at once. backoffLogDue means that a changed backoff is due to be logged.
 	limitReportDue bool
-	restLogDue     bool
+	backoffLogDue  bool
 }
 
 // detectChange compares an announcement with its previous state and updates its times of change and of
-// logging. The lock must be held.
+// logging. The caller must hold r.mu.
 func (r *Record) detectChange(previous shelfshelf.TargetWord, a *announcement, now time.Time) announcementChange {
 	c := announcementChange{
 		target: r.listed[a.Target].Name, announcement: a.TargetWord,
 		limitChanged: previous.Limit != a.Limit, leavingChanged: previous.Leaving != a.Leaving,
-		restChanged: !previous.RestUntil.Equal(a.RestUntil),
+		backoffChanged: !previous.RestUntil.Equal(a.RestUntil),
 	}
 	if previous.Version != a.Version || c.limitChanged || c.leavingChanged {
 		a.changedAt = now
@@ -34,17 +34,17 @@
 	if c.limitReportDue {
 		a.limitLoggedAt = now
 	}
-	c.restLogDue = c.restChanged && now.Sub(a.restLoggedAt) >= minLogInterval
-	if c.restLogDue {
-		a.restLoggedAt = now
+	c.backoffLogDue = c.backoffChanged && now.Sub(a.backoffLoggedAt) >= minLogInterval
+	if c.backoffLogDue {
+		a.backoffLoggedAt = now
 	}
 	return c
 }
 
 // reportChange logs a change and calls Changed; own means that this instance read it from a response.
-// The lock must not be held.
+// The caller must not hold r.mu.
 func (r *Record) reportChange(c announcementChange, own bool) {
-	if !c.limitChanged && !c.leavingChanged && !c.restChanged {
+	if !c.limitChanged && !c.leavingChanged && !c.backoffChanged {
 		return
 	}
 	if c.limitReportDue {
@@ -55,8 +55,8 @@
 		r.Log.Info("The shutdown announcement of a target changed.", "target", c.target, "leaving", c.announcement.Leaving,
 			"born", c.announcement.Born, "own", own)
 	}
-	if c.restLogDue {
-		r.Log.Info("A target asked for a rest.", "target", c.target, "left", c.announcement.RestUntil.Sub(r.Clock.Now()))
+	if c.backoffLogDue {
+		r.Log.Info("A target asked for a backoff.", "target", c.target, "left", c.announcement.RestUntil.Sub(r.Clock.Now()))
 	}
 	r.Changed(c.announcement.Target, own && (c.limitReportDue || c.leavingChanged))
 }
--- a/announced/limit.go
+++ b/announced/limit.go
@@ -10,8 +10,8 @@
 // that varies slightly from response to response is not reported each time.
 const limitTolerance = 0.05
 
-// noteLimit reports whether a response changes the known limit of its target's process. If the
-// response repeats that limit, noteLimit updates limitSeenAt.
+// noteLimit reports whether a response changes the known limit of its target's process. If the response
+// repeats that limit, noteLimit updates limitSeenAt. The caller must hold the mutex of the Record.
 func noteLimit(a *announcement, known shelfshelf.TargetWord, limit shelfshelf.RateLimit, sent, now time.Time) bool {
 	switch {
 	case limit.Named && sameLimit(known.Limit, limit):
--- a/announced/record.go
+++ b/announced/record.go
@@ -11,8 +11,8 @@
 )
 
 // minLogInterval is the least time between two log lines, and between two unscheduled statuses, about
-// one target's limit. It also applies to log lines about rests and, over all targets, about unreadable
-// announcements.
+// one target's limit. It also applies to log lines about backoffs and, over all targets, about
+// unreadable announcements.
 const minLogInterval = time.Second
 
 // Record holds what targets have announced about themselves. Set the exported fields before use. It is
@@ -26,7 +26,7 @@
 	Changed func(target shelfshelf.TargetKey, tell bool)
 
 	// announcementCount is the number of announcements. It is usually 0, and then responses are
-	// processed without the lock.
+	// processed without locking mu.
 	announcementCount atomic.Int64
 	mu                sync.Mutex
 	announcements     map[shelfshelf.TargetKey]*announcement
@@ -42,13 +42,14 @@
 type announcement struct {
 	shelfshelf.TargetWord
 	// firstSeenAt is when this instance learnt of the process, changedAt when it learnt of the latest
-	// change that is sent to others, and limitSeenAt when it last read of a limit or received a newer one.
+	// change that is sent to others, and limitSeenAt when it last read the limit in a response or
+	// received a newer one.
 	firstSeenAt time.Time
 	changedAt   time.Time
 	limitSeenAt time.Time
-	// limitLoggedAt and restLoggedAt are when its limit and its rest were last logged.
-	limitLoggedAt time.Time
-	restLoggedAt  time.Time
+	// limitLoggedAt and backoffLoggedAt are when its limit and its backoff were last logged.
+	limitLoggedAt   time.Time
+	backoffLoggedAt time.Time
 	// lastListedAt is when the target was last known to be listed.
 	lastListedAt time.Time
 }
@@ -128,7 +129,7 @@
 }
 
 // merge merges a received announcement into the known one. The result doesn't depend on the order in
-// which announcements arrive or on how often. The lock must be held.
+// which announcements arrive or on how often. The caller must hold r.mu.
 func (r *Record) merge(received shelfshelf.TargetWord, now time.Time) announcementChange {
 	a := r.announcements[received.Target]
 	if a != nil && startedLater(a.Born, received.Born) {
@@ -153,7 +154,7 @@
 	return &announcement{TargetWord: shelfshelf.TargetWord{Target: like.Target, Born: like.Born}, firstSeenAt: now, lastListedAt: now}
 }
 
-// add adds an announcement. The lock must be held.
+// add adds an announcement. The caller must hold r.mu.
 func (r *Record) add(a *announcement) {
 	if r.announcements == nil {
 		r.announcements = make(map[shelfshelf.TargetKey]*announcement)
@@ -167,13 +168,14 @@
 	return !born.IsZero() && !other.IsZero() && born.After(other)
 }
 
-// mergeSameProcess merges an announcement of the same process.
+// mergeSameProcess merges an announcement of the same process. The caller must hold the mutex of the
+// Record.
 func (a *announcement) mergeSameProcess(received shelfshelf.TargetWord, now time.Time) {
 	if a.Born.IsZero() {
 		a.Born = received.Born
 	}
 	a.Leaving = a.Leaving || received.Leaving
-	// The response to another request may ask for a rest that ends sooner; the later end applies.
+	// The response to another request may ask for a backoff that ends sooner; the later end applies.
 	if received.RestUntil.After(a.RestUntil) {
 		a.RestUntil = received.RestUntil
 	}
@@ -185,7 +187,7 @@
 	}
 }
 
-// Said returns what a target has announced.
+// Said returns the current announcement of a target.
 func (r *Record) Said(target shelfshelf.TargetKey) shelfshelf.TargetWord {
 	if r.announcementCount.Load() == 0 {
 		return shelfshelf.TargetWord{Target: target}
--- a/announced/record_test.go
+++ b/announced/record_test.go
@@ -163,25 +163,25 @@
 	}
 }
 
-// A rest is not sent to other instances, is kept while the target is unlisted and ends with its process.
-// Of several rests the one that ends last applies.
-func TestRestIsLocalToOneInstance(t *testing.T) {
+// A backoff is not sent to other instances, is kept while the target is unlisted and ends with its
+// process. Of several backoffs the one that ends last applies.
+func TestBackoffIsLocalToOneInstance(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	r := newRecord(clock)
 	first := shelfshelf.Target{Name: name, Born: time.Unix(1, 0)}
 	r.Targets([]shelfshelf.Target{first})
 	began := clock.Now()
-	for _, rest := range []time.Duration{3 * time.Second, time.Second, 10 * time.Minute, 0} {
-		r.Answered(first, shelfshelf.Answer{Rest: rest}, clock.Now())
+	for _, backoff := range []time.Duration{3 * time.Second, time.Second, 10 * time.Minute, 0} {
+		r.Answered(first, shelfshelf.Answer{Rest: backoff}, clock.Now())
 	}
 	if sent := r.Told(); len(sent) != 0 {
-		t.Errorf("a rest is sent: %+v", sent)
+		t.Errorf("a backoff is sent: %+v", sent)
 	}
 	r.Targets(nil)
 	clock.Advance(9 * time.Minute)
 	r.Targets([]shelfshelf.Target{first})
 	if got := r.Said(key).RestUntil.Sub(began); got != 10*time.Minute || r.Resting() != 1 {
-		t.Errorf("rest of %v, %d targets resting", got, r.Resting())
+		t.Errorf("backoff of %v, %d targets in backoff", got, r.Resting())
 	}
 	r.Targets([]shelfshelf.Target{{Name: name, Born: time.Unix(2, 0)}})
 	if !r.Said(key).RestUntil.IsZero() || r.Resting() != 0 {
--- a/announced/status.go
+++ b/announced/status.go
@@ -46,12 +46,12 @@
 }
 
 // rotationOrder returns all targets with an announcement to send, starting after the last one sent. A
-// shutdown is left out if the target's entry says it too or the target isn't listed, as all instances
-// know of it then. The lock must be held.
+// shutdown is left out if the target's entry says it too or the target isn't listed, because all
+// instances know of it then. The caller must hold r.mu.
 func (r *Record) rotationOrder(now time.Time) []shelfshelf.TargetKey {
 	keys := make([]shelfshelf.TargetKey, 0, len(r.announcements))
 	for key, a := range r.announcements {
-		if a.Version > 0 || a.changedRecently(now) || r.onlyAnswersSayLeaving(a) {
+		if a.Version > 0 || a.changedRecently(now) || r.onlyResponsesSayLeaving(a) {
 			keys = append(keys, key)
 		}
 	}
--- a/announced/targets.go
+++ b/announced/targets.go
@@ -46,7 +46,7 @@
 }
 
 // removeExpired removes announcements that no longer matter: limits that ended long ago and those of
-// targets that are gone. The lock must be held.
+// targets that are gone. The caller must hold r.mu.
 func (r *Record) removeExpired(now time.Time) {
 	for key, a := range r.announcements {
 		if !r.retained(a, now) {
@@ -57,7 +57,7 @@
 }
 
 // retained reports whether an announcement still matters or older messages about it may still arrive.
-// The lock must be held.
+// The caller must hold r.mu.
 func (r *Record) retained(a *announcement, now time.Time) bool {
 	_, listed := r.listed[a.Target]
 	switch {
@@ -77,10 +77,10 @@
 // Leaving returns the number of listed targets that announce their shutdown in responses but not in their
 // entries.
 func (r *Record) Leaving() int {
-	return r.count(r.onlyAnswersSayLeaving)
+	return r.count(r.onlyResponsesSayLeaving)
 }
 
-// Resting returns the number of listed targets whose rest, asked of this instance, isn't over.
+// Resting returns the number of listed targets whose backoff, asked of this instance, isn't over.
 func (r *Record) Resting() int {
 	now := r.Clock.Now()
 	return r.count(func(a *announcement) bool {
@@ -89,9 +89,9 @@
 	})
 }
 
-// onlyAnswersSayLeaving reports whether a listed target has announced its shutdown in responses while its
-// entry doesn't say so. The lock must be held.
-func (r *Record) onlyAnswersSayLeaving(a *announcement) bool {
+// onlyResponsesSayLeaving reports whether a listed target has announced its shutdown in responses while
+// its entry doesn't say so. The caller must hold r.mu.
+func (r *Record) onlyResponsesSayLeaving(a *announcement) bool {
 	target, listed := r.listed[a.Target]
 	return a.Leaving && listed && !target.Leaving
 }
--- a/announced/token_bucket.go
+++ b/announced/token_bucket.go
@@ -29,8 +29,8 @@
 	filledAt time.Time
 }
 
-// RateWithin returns the rate at which a gate allows at most so many sends within any second,
-// including the tokens it had accumulated.
+// RateWithin returns the rate of a gate that allows at most perSecond sends within any second, including
+// those for accumulated tokens.
 func RateWithin(perSecond float64) float64 {
 	return perSecond / (1 + burstDuration.Seconds())
 }
