--- a/crashes/blame.go
+++ b/crashes/blame.go
@@ -9,8 +9,8 @@
 const (
 	// minUnexplainedCrashes is the number of crashes not explained by another request from which a
 	// request is quarantined. A smaller number would quarantine requests that ran beside such a request
-	// twice: while 22 engines crashed within 14 s, with 18 running at a time, 3 of 35 resumed streams met a
-	// second crash.
+	// twice: while 22 engines crashed within 14 s, with 18 running at a time, 3 of 35 resumed streams
+	// met a second crash.
 	minUnexplainedCrashes = 3
 	// minTotalCrashes is the number of crashes from which a request is quarantined whatever ran beside it.
 	// Without it, two requests that crash targets and often share one would excuse each other.
@@ -42,8 +42,8 @@
 
 // assignBlame works out the blame of each request that was running when a target crashed. In each crash,
 // only the requests with the most crashes overall are blamed; they explain the crash, which excuses the
-// others. For example, if a request crashed engines a, b, c and d and a stream ran beside it on a, b and c,
-// only the request is blamed.
+// others. For example, if a request crashed targets a, b, c and d and a stream ran beside it on a, b and
+// c, only the request is blamed.
 func assignBlame(crashes map[shelfshelf.CrashID]*crash) map[shelfshelf.Fingerprint]blame {
 	blames := make(map[shelfshelf.Fingerprint]blame)
 	for _, c := range crashes {
--- a/crashes/keeper.go
+++ b/crashes/keeper.go
@@ -14,14 +14,14 @@
 
 const (
 	// minSaveInterval is the least time between two saves. saveWatchTime is how long after a change the
-	// Keeper checks whether it has become this instance's turn to save, as the instance in charge may have
-	// stopped.
+	// Keeper keeps checking whether this instance has come to be in charge of saving, because the one in
+	// charge may have stopped.
 	minSaveInterval = time.Second
 	saveWatchTime   = 10 * time.Second
 	// saveTimeout limits saving; fetchTimeout limits fetching from another instance.
 	saveTimeout  = 500 * time.Millisecond
 	fetchTimeout = 2 * time.Second
-	// loadRetryDelay is the delay before a failed load is repeated.
+	// loadRetryDelay is the delay before a failed load is retried.
 	loadRetryDelay = 300 * time.Millisecond
 	// mismatchTimeout is how long another instance's hash may differ before all its crashes are fetched.
 	// Updates usually arrive within 0.3 s.
@@ -117,7 +117,7 @@
 			k.Log.Info("Loaded the saved crashes of targets.", "crashes", len(loaded))
 			return
 		}
-		k.Log.Warn("Failed to load the saved crashes of targets; trying again.", "error", err)
+		k.Log.Warn("Failed to load the saved crashes of targets; retrying.", "error", err)
 		select {
 		case <-ctx.Done():
 		case <-k.Clock.After(loadRetryDelay):
--- a/crashes/quarantine.go
+++ b/crashes/quarantine.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// initialQuarantine is how long a request is quarantined after its latest crash. The time doubles with
-	// each further crash, up to maxQuarantine. An innocent request is served again afterwards; another one
-	// costs one target each time.
+	// initialQuarantine is how long a request is quarantined after its latest crash. The time doubles
+	// with each further crash, up to maxQuarantine. A request that caused no crash is served again
+	// afterwards; one that did crashes one more target each time.
 	initialQuarantine = 10 * time.Minute
 	maxQuarantine     = 24 * time.Hour
-	// probeTimeout is how long the one request let through after a quarantine has to crash its target or to
-	// complete before another one is let through.
+	// probeTimeout is how long the one request that is let through after a quarantine may run, until it
+	// crashes its target or completes, before another one is let through.
 	probeTimeout = 30 * time.Second
 )
 
@@ -33,9 +33,10 @@
 	startedAt time.Time
 }
 
-// Held reports whether a request is quarantined, so that it must not be sent to a target, and returns the
-// details. At the end of a quarantine, one request with the fingerprint is let through as a probe. Each
-// instance does so at another time, far enough apart for all to know the outcome of the previous probe.
+// Held reports whether a request is quarantined, so that it must not be sent to a target, and returns
+// the details. At the end of a quarantine, one request with the fingerprint is let through as a probe.
+// Each instance does so at a different time, far enough apart that all know the outcome of the previous
+// probe.
 func (r *Record) Held(request shelfshelf.Fingerprint, id shelfshelf.RequestID) (Hold, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/crashes/record.go
+++ b/crashes/record.go
@@ -21,8 +21,8 @@
 	maxCrashes     = 1000
 	// maxRunsPerCrash limits the runs of one crash.
 	maxRunsPerCrash = 256
-	// sameCrashWindow is how long after a crash connections may still break because of it. One that
-	// breaks later belongs to another crash, of a target that restarted under its name.
+	// sameCrashWindow is how long after a crash connections may still break because of it. A connection
+	// that breaks later belongs to another crash, of a target that restarted under the same name.
 	sameCrashWindow = 1500 * time.Millisecond
 )
 
@@ -52,6 +52,7 @@
 	return r.changedChannel()
 }
 
+// changedChannel returns the channel of Changed. The caller must hold r.mu.
 func (r *Record) changedChannel() chan struct{} {
 	if r.changed == nil {
 		r.changed = make(chan struct{}, 1)
@@ -75,7 +76,7 @@
 }
 
 // crashID returns the ID of the first crash of the target's process, or of a further one if the previous
-// one is too long ago to be the same. The lock must be held.
+// one is too long ago to be the same. The caller must hold r.mu.
 func (r *Record) crashID(target shelfshelf.Target, at time.Time) shelfshelf.CrashID {
 	hash := xxhash.New()
 	_, _ = hash.WriteString(string(target.Name))
@@ -129,7 +130,8 @@
 	}
 }
 
-// merge merges a received crash and reports whether it brought new information. The lock must be held.
+// merge merges a received crash and reports whether it brought new information. The caller must hold
+// r.mu.
 func (r *Record) merge(received shelfshelf.Crash, unknownLocally bool) bool {
 	if received.Age >= crashRetention {
 		return false
@@ -157,7 +159,7 @@
 	return changed
 }
 
-// setRun sets a run of a crash and updates the hash. The lock must be held.
+// setRun sets a run of a crash and updates the hash. The caller must hold r.mu.
 func (r *Record) setRun(id shelfshelf.CrashID, c *crash, request shelfshelf.Fingerprint, cleared bool) {
 	if before, ran := c.runs[request]; ran {
 		r.hash ^= hashRun(id, request, before)
@@ -188,7 +190,7 @@
 	return hash
 }
 
-// markUpdated marks a crash to be sent to other instances. The lock must be held.
+// markUpdated marks a crash to be sent to other instances. The caller must hold r.mu.
 func (r *Record) markUpdated(id shelfshelf.CrashID, unknownLocally bool) {
 	if r.updates == nil {
 		r.updates = make(map[shelfshelf.CrashID]update)
@@ -196,7 +198,8 @@
 	r.updates[id] = update{at: r.Clock.Now(), unknownLocally: unknownLocally || r.updates[id].unknownLocally}
 }
 
-// reassess removes expired crashes, assigns blame again and signals the change. The lock must be held.
+// reassess removes expired crashes, assigns blame again and signals the change. The caller must hold
+// r.mu.
 func (r *Record) reassess() {
 	r.removeExpired()
 	blamed := assignBlame(r.crashes)
@@ -220,7 +223,8 @@
 	}
 }
 
-// removeExpired removes crashes that are too old or too many, and old updates. The lock must be held.
+// removeExpired removes crashes that are too old or too many, and old updates. The caller must hold
+// r.mu.
 func (r *Record) removeExpired() {
 	now := r.Clock.Now()
 	for id, c := range r.crashes {
@@ -241,6 +245,7 @@
 	}
 }
 
+// remove removes a crash. The caller must hold r.mu.
 func (r *Record) remove(id shelfshelf.CrashID) {
 	for request, cleared := range r.crashes[id].runs {
 		r.hash ^= hashRun(id, request, cleared)
@@ -249,7 +254,7 @@
 	delete(r.updates, id)
 }
 
-// newestFirst returns the IDs of all crashes by age. The lock must be held.
+// newestFirst returns the IDs of all crashes, those of the newest first. The caller must hold r.mu.
 func (r *Record) newestFirst() []shelfshelf.CrashID {
 	ids := make([]shelfshelf.CrashID, 0, len(r.crashes))
 	for id := range r.crashes {
--- a/crashes/updates.go
+++ b/crashes/updates.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// updateLifetime is how long an update is repeated in each status: 4 to 30 times, because links lose
+	// updateLifetime is how long an update is included in each status: 4 to 30 times, because links lose
 	// messages.
 	updateLifetime = time.Second
 	// maxUpdateBytes limits the crashes in one status, in bytes. The rest is fetched.
@@ -20,8 +20,8 @@
 // update marks a crash about which this instance has learnt something recently.
 type update struct {
 	at time.Time
-	// unknownLocally means that other instances of this data centre may not have received the information
-	// from where this instance got it.
+	// unknownLocally means that this instance may be the only one in its data centre that has received
+	// the information.
 	unknownLocally bool
 }
 
@@ -49,7 +49,8 @@
 	return sent
 }
 
-// export returns the form in which a crash is sent to other instances.
+// export returns the form in which a crash is sent to other instances. The caller must hold the mutex of
+// the Record.
 func (c *crash) export(id shelfshelf.CrashID, now time.Time) shelfshelf.Crash {
 	exported := shelfshelf.Crash{ID: id, Age: now.Sub(c.at)}
 	for request, cleared := range c.runs {
