--- a/gossip/aggregate.go
+++ b/gossip/aggregate.go
@@ -36,16 +36,17 @@
 	silentIntervals = 3
 )
 
-// isSparse reports whether this data centre is too large for a full mesh. The lock must be held.
+// isSparse reports whether this data centre is too large for a full mesh. The caller must hold n.mu.
 func (n *Node) isSparse() bool { return n.localPeers+1 > maxFullMeshInstances }
 
-// isAggregator reports whether an instance of this data centre is an aggregator. The lock must be held.
+// isAggregator reports whether an instance of this data centre is an aggregator. The caller must hold
+// n.mu.
 func (n *Node) isAggregator(id shelfshelf.InstanceID) bool {
 	return slices.Contains(n.aggregators, id)
 }
 
 // electAggregators counts the other instances of this data centre and selects its aggregators: the live
-// instances with the widest links that are not leaving. The lock must be held.
+// instances with the widest links that are not leaving. The caller must hold n.mu.
 func (n *Node) electAggregators(now time.Time) {
 	localPeers := 0
 	candidates := []shelfshelf.Instance{n.Self}
@@ -67,7 +68,7 @@
 }
 
 // statusInterval returns the minimum interval between two statuses to an instance of this data centre.
-// The lock must be held.
+// The caller must hold n.mu.
 func (n *Node) statusInterval(p *peerState) time.Duration {
 	interval := time.Duration(0)
 	if n.isSparse() && !n.isAggregator(n.Self.ID) && !n.isAggregator(p.instance.ID) {
@@ -82,8 +83,8 @@
 	return interval
 }
 
-// silenceTimeout returns how long an instance of this data centre may be silent and still count as
-// live. The lock must be held.
+// silenceTimeout returns how long an instance of this data centre may be silent and still count as live.
+// The caller must hold n.mu.
 func (n *Node) silenceTimeout(p *peerState) time.Duration {
 	if p.dormant || p.silent {
 		return SilentAfter
@@ -91,8 +92,8 @@
 	return max(SilentAfter, silentIntervals*n.statusInterval(p))
 }
 
-// isLive reports whether an instance of this data centre was heard from recently enough. The lock must
-// be held.
+// isLive reports whether an instance of this data centre was heard from recently enough. The caller must
+// hold n.mu.
 func (n *Node) isLive(p *peerState, now time.Time) bool {
 	return p.seen && now.Sub(p.lastSeen) < n.silenceTimeout(p)
 }
@@ -113,7 +114,7 @@
 	return digest, true
 }
 
-// fillDigest sets the digest's data centre and that data centre's instances. The lock must be held.
+// fillDigest sets the digest's data centre and that data centre's instances. The caller must hold n.mu.
 func (n *Node) fillDigest(digest *shelfshelf.Digest, now time.Time) {
 	digest.DataCentre = n.Self.DataCentre
 	digest.Instances = n.countLiveLocals()
@@ -121,7 +122,7 @@
 }
 
 // liveMembers returns the live instances of this data centre that are not leaving, including this one.
-// The lock must be held.
+// The caller must hold n.mu.
 func (n *Node) liveMembers(now time.Time) []shelfshelf.Member {
 	var members []shelfshelf.Member
 	if !n.leaving {
@@ -136,8 +137,8 @@
 	return members
 }
 
-// Members returns the instances of a data centre that may own engines. All instances have to agree on
-// them; otherwise an engine has two owners that don't know of each other's requests. For another data
+// Members returns the instances of a data centre that may own targets. All instances have to agree on
+// them; otherwise a target has two owners that don't know of each other's requests. For another data
 // centre, and for non-aggregators of a large one, the member list in the data centre's own digest
 // therefore takes precedence over what this instance knows itself.
 func (n *Node) Members(centre shelfshelf.DataCentre) []shelfshelf.Member {
@@ -174,8 +175,8 @@
 	return n.Members(first)
 }
 
-// firstDataCentre returns the first data centre by name that has instances, and whether the other one
-// given has none.
+// firstDataCentre returns the first data centre by name that has instances, with empty set if other has
+// none. If a known peer is in other, first is "".
 func (n *Node) firstDataCentre(other shelfshelf.DataCentre) (first shelfshelf.DataCentre, empty bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -192,7 +193,7 @@
 	return first, other != n.Self.DataCentre
 }
 
-// asMember returns the peer as a member of its data centre.
+// asMember returns the peer as a member of its data centre. The caller must hold the mutex of the Node.
 func (p *peerState) asMember() shelfshelf.Member {
 	if p.hash == 0 {
 		p.hash = hashInstanceID(p.instance.ID)
--- a/gossip/directory.go
+++ b/gossip/directory.go
@@ -10,33 +10,33 @@
 )
 
 const (
-	// maxAnnounceDelay is the time over which instances spread their announcements when the whole
+	// maxRegistrationDelay is the time over which instances spread their registrations when the whole
 	// deployment starts for the first time. The platform writes about 200 rows of a table a second, one
 	// after the other, and rejects writes that would wait for more than a second.
-	maxAnnounceDelay = 2 * time.Second
-	// directoryReadInterval is how often the directory is read when nothing is missing. An instance
-	// missing from this one's list announces itself to the others, and its messages reveal it.
+	maxRegistrationDelay = 2 * time.Second
+	// directoryReadInterval is how often the directory is read when nothing is missing. An instance that
+	// is missing from this one's list sends its own messages, which reveal it.
 	directoryReadInterval = 10 * time.Minute
 	// minRetryDelay and maxRetryDelay bound the delay after a failed call to the directory. The delay
 	// doubles with each failure, since the platform also counts the calls that it rejects.
 	minRetryDelay = 300 * time.Millisecond
-	// announcementLossWindow is the age up to which an announcement may be lost when the store is
+	// registrationLossWindow is the age up to which a registration may be lost when the store is
 	// restored from a copy that is some seconds old.
-	announcementLossWindow = time.Minute
+	registrationLossWindow = time.Minute
 	maxRetryDelay          = 2400 * time.Millisecond
 )
 
-// directoryLoop discovers the other instances, and announces this one if it is not listed yet. An
+// directoryLoop discovers the other instances, and registers this one if it is not listed yet. An
 // instance that is already listed, as after a restart, costs the platform one call.
 func (n *Node) directoryLoop(ctx context.Context) error {
-	announced := n.FirstStart && n.announceOnFirstStart(ctx)
+	registered := n.FirstStart && n.registerOnFirstStart(ctx)
 	retry := minRetryDelay
 	for ctx.Err() == nil {
 		listed, err := n.readDirectory(ctx, n.Self.DataCentre)
-		written := err == nil && !announced && !listed && (n.announce(ctx) || n.retryAnnounce(ctx))
-		announced = announced || listed || written
+		written := err == nil && !registered && !listed && (n.register(ctx) || n.retryRegister(ctx))
+		registered = registered || listed || written
 		if written {
-			// Reads again: instances that announced themselves meanwhile did not see this one listed.
+			// Reads again: instances that registered meanwhile did not see this one listed.
 			continue
 		}
 		if err == nil {
@@ -52,34 +52,34 @@
 		select {
 		case <-ctx.Done():
 		case <-n.Clock.After(pause):
-		case <-n.announcementLost:
-			announced = false
-			n.sleepAnnounceDelay(ctx)
+		case <-n.registrationLost:
+			registered = false
+			n.sleepRegistrationDelay(ctx)
 		}
 	}
 	return nil
 }
 
 // Lost signals that recent writes may be missing from the directory, for example because the store was
-// restored from an older copy. An instance that announced itself recently then checks whether it is
-// still listed.
+// restored from an older copy. An instance that registered recently then checks whether it is still
+// listed.
 func (n *Node) Lost() {
 	n.mu.Lock()
-	recent := !n.announcedAt.IsZero() && n.Clock.Now().Sub(n.announcedAt) < announcementLossWindow
+	recent := !n.registeredAt.IsZero() && n.Clock.Now().Sub(n.registeredAt) < registrationLossWindow
 	n.mu.Unlock()
 	if !recent {
 		return
 	}
 	select {
-	case n.announcementLost <- struct{}{}:
+	case n.registrationLost <- struct{}{}:
 	default:
 	}
 }
 
-// sleepAnnounceDelay sleeps for a random part of maxAnnounceDelay, so that instances don't all write at
-// once.
-func (n *Node) sleepAnnounceDelay(ctx context.Context) {
-	n.sleep(ctx, time.Duration(rand.Float64()*float64(maxAnnounceDelay)))
+// sleepRegistrationDelay sleeps for a random part of maxRegistrationDelay, so that instances don't all
+// write at once.
+func (n *Node) sleepRegistrationDelay(ctx context.Context) {
+	n.sleep(ctx, time.Duration(rand.Float64()*float64(maxRegistrationDelay)))
 }
 
 // sleep waits for a duration or until the context ends; it returns at once if the duration is not
@@ -94,14 +94,14 @@
 	}
 }
 
-// announceOnFirstStart announces this instance when the whole deployment starts for the first time. The
-// directory is empty then, so it is not read first, and the announcement can be delayed.
-func (n *Node) announceOnFirstStart(ctx context.Context) bool {
-	n.sleepAnnounceDelay(ctx)
+// registerOnFirstStart registers this instance when the whole deployment starts for the first time. The
+// directory is empty then, so it is not read first, and the registration can be delayed.
+func (n *Node) registerOnFirstStart(ctx context.Context) bool {
+	n.sleepRegistrationDelay(ctx)
 	if ctx.Err() != nil {
 		return false
 	}
-	if n.announce(ctx) {
+	if n.register(ctx) {
 		return true
 	}
 	// Reads the directory before retrying: the instances listed there learn of this one from its
@@ -109,31 +109,31 @@
 	if _, err := n.readDirectory(ctx, n.Self.DataCentre); err != nil {
 		return false
 	}
-	return n.retryAnnounce(ctx)
+	return n.retryRegister(ctx)
 }
 
-// retryAnnounce repeats a failed announcement until it succeeds or the context ends, without reading
-// the directory again.
-func (n *Node) retryAnnounce(ctx context.Context) bool {
+// retryRegister retries a failed registration until it succeeds or the context ends, without reading the
+// directory again.
+func (n *Node) retryRegister(ctx context.Context) bool {
 	for retry := minRetryDelay; ctx.Err() == nil; retry = min(2*retry, maxRetryDelay) {
 		n.sleep(ctx, jitter(retry))
-		if ctx.Err() == nil && n.announce(ctx) {
+		if ctx.Err() == nil && n.register(ctx) {
 			return true
 		}
 	}
 	return false
 }
 
-func (n *Node) announce(ctx context.Context) bool {
+func (n *Node) register(ctx context.Context) bool {
 	err := n.Directory.Announce(ctx, n.directoryPartition(n.Self.DataCentre), n.Self)
 	n.mu.Lock()
-	n.announcedAt = n.Clock.Now()
+	n.registeredAt = n.Clock.Now()
 	n.mu.Unlock()
 	if err != nil {
-		n.Log.Warn("Announcing this instance in the directory failed.", "error", err)
+		n.Log.Warn("Registering this instance in the directory failed.", "error", err)
 		return false
 	}
-	n.Log.Info("This instance was announced in the directory.", "instance", n.Self.ID, "address", n.Self.Address)
+	n.Log.Info("This instance was registered in the directory.", "instance", n.Self.ID, "address", n.Self.Address)
 	return true
 }
 
--- a/gossip/directory_test.go
+++ b/gossip/directory_test.go
@@ -22,7 +22,7 @@
 	all           []shelfshelf.Instance
 	down          bool
 	reads         int
-	announcements int
+	registrations int
 }
 
 var errDirectoryDown = errors.New("down")
@@ -30,7 +30,7 @@
 func (d *countingDirectory) Announce(_ context.Context, _ string, instance shelfshelf.Instance) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.announcements++
+	d.registrations++
 	if d.down {
 		return errDirectoryDown
 	}
@@ -60,12 +60,12 @@
 		firstStart    bool
 		down          bool
 		reads         int
-		announcements int
+		registrations int
 	}{
 		"listed":           {listed: []shelfshelf.Instance{self}, reads: 1},
-		"not listed":       {reads: 2, announcements: 1},
-		"listed elsewhere": {listed: []shelfshelf.Instance{moved}, reads: 2, announcements: 1},
-		"first start":      {firstStart: true, reads: 1, announcements: 1},
+		"not listed":       {reads: 2, registrations: 1},
+		"listed elsewhere": {listed: []shelfshelf.Instance{moved}, reads: 2, registrations: 1},
+		"first start":      {firstStart: true, reads: 1, registrations: 1},
 		// Reads after 0, 0.3, 0.9, 2.1, 4.5, 6.9, 9.3 and 11.7 s; jitter shortens each delay by up to
 		// 15 %.
 		"down": {down: true, reads: 9},
@@ -80,8 +80,8 @@
 				if err := n.directoryLoop(ctx); err != nil {
 					t.Error(err)
 				}
-				if d.reads > c.reads || d.announcements != c.announcements || d.reads == 0 {
-					t.Errorf("%d reads and %d announcements; want at most %d and exactly %d", d.reads, d.announcements, c.reads, c.announcements)
+				if d.reads > c.reads || d.registrations != c.registrations || d.reads == 0 {
+					t.Errorf("%d reads and %d registrations; want at most %d and exactly %d", d.reads, d.registrations, c.reads, c.registrations)
 				}
 			})
 		})
--- a/gossip/doc.go
+++ b/gossip/doc.go
@@ -1,5 +1,5 @@
-// Package gossip lets instances exchange what they have in flight at each target, what customers have
-// used, and how recent their configuration is.
+// Package gossip lets instances exchange what they have in flight at each target, the usage of
+// customers, and how recent their configuration is.
 //
 // Within a data centre every instance sends its status to every other, or, in a large data centre, to a
 // few aggregators that send everyone an aggregated digest. Between data centres one instance at a time,
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -45,9 +45,9 @@
 	Status() shelfshelf.Status
 	// Observations returns what this instance has observed of targets since the last call.
 	Observations() []shelfshelf.TargetSpeed
-	// Crashes returns the target crashes that this instance has learned of recently. Unless wide is
-	// set, it leaves out those that the other instances of its data centre can have learned from the
-	// same source.
+	// Crashes returns the target crashes that this instance has learnt of recently. Unless wide is set,
+	// it leaves out those that the other instances of its data centre can have learnt from the same
+	// source.
 	Crashes(wide bool) []shelfshelf.Crash
 	// Digest returns the aggregated state of this data centre; Node fills in the data centre and its
 	// instances.
@@ -76,8 +76,8 @@
 	// Centres are the data centres of the deployment; each has its own partition of the directory. If
 	// this instance's data centre is not among them, all instances share one partition.
 	Centres []shelfshelf.DataCentre
-	// Fetch asks the instance at an address for all instances that it knows. If it is nil, instances
-	// are learned from the directory only.
+	// Fetch asks the instance at an address for all instances that it knows. If it is nil, instances are
+	// learnt from the directory only.
 	Fetch func(ctx context.Context, address string) ([]shelfshelf.Instance, error)
 	// Other handles datagrams of other protocols on the same socket, recognized by their first byte,
 	// OtherMarker. If it is nil, there are none.
@@ -93,21 +93,21 @@
 	leaving     bool
 	// selfMember is this instance as a member of its data centre.
 	selfMember shelfshelf.Member
-	// localPeers is the number of other instances in this data centre, and aggregators are those that
-	// send its digest to the others if it is large.
+	// localPeers is the number of other instances in this data centre that are not dormant. aggregators
+	// are the instances that send its digest to the others if it is large.
 	localPeers  int
 	aggregators []shelfshelf.InstanceID
 	// directoryReadAt is when the directory was first read successfully; zero if it never was.
 	directoryReadAt time.Time
 	// remotesKnown says that the listed instances of the other data centres are known.
 	remotesKnown bool
-	// announcedAt is when this instance last tried to announce itself. announcementLost receives a
-	// value when that announcement may have been lost.
-	announcedAt      time.Time
-	announcementLost chan struct{}
+	// registeredAt is when this instance last tried to register itself. registrationLost receives a
+	// value when that registration may have been lost.
+	registeredAt     time.Time
+	registrationLost chan struct{}
 }
 
-// Run announces this instance and exchanges messages until the context ends.
+// Run registers this instance in the directory and exchanges messages until the context ends.
 func (n *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var group run.Group
@@ -124,7 +124,7 @@
 // Init initializes the node. It must be called before any other method.
 func (n *Node) Init() {
 	n.sendNow = make(chan struct{}, 1)
-	n.announcementLost = make(chan struct{}, 1)
+	n.registrationLost = make(chan struct{}, 1)
 	n.startedAt = n.Clock.Now()
 	n.peers = make(map[shelfshelf.InstanceID]*peerState)
 	n.dataCentres = make(map[shelfshelf.DataCentre]*dataCentreState)
@@ -190,8 +190,8 @@
 	}
 }
 
-// handleMessage processes a message unless it is this instance's own or a newer one from its sender is
-// known.
+// handleMessage processes a message unless it is this instance's own or not newer than the last one from
+// its sender.
 func (n *Node) handleMessage(m message) {
 	id := m.status.From.ID
 	if id == n.Self.ID {
@@ -288,8 +288,8 @@
 		first := p.lastSent.IsZero()
 		p.lastSent = now
 		if first {
-			// Backdates the first send at random, so that peers discovered together are not always sent
-			// to together.
+			// Backdates the first send at random, so that peers that were discovered together don't get
+			// all their statuses together.
 			p.lastSent = now.Add(-time.Duration(rand.Float64() * float64(interval)))
 		}
 		due = append(due, p)
@@ -302,7 +302,7 @@
 	return localPeers
 }
 
-// setSender fills in the sender of a status and its sequence number. The lock must be held.
+// setSender fills in the sender of a status and its sequence number. The caller must hold n.mu.
 func (n *Node) setSender(status *shelfshelf.Status) {
 	n.sequence++
 	status.From = n.Self
@@ -313,7 +313,7 @@
 	}
 }
 
-// addressMessages makes a message for each receiver. The lock must be held.
+// addressMessages makes a message for each receiver. The caller must hold n.mu.
 func (n *Node) addressMessages(k kind, status shelfshelf.Status, to []*peerState, now time.Time) ([]message, []netip.AddrPort) {
 	messages := make([]message, len(to))
 	addresses := make([]netip.AddrPort, len(to))
--- a/gossip/peers.go
+++ b/gossip/peers.go
@@ -12,8 +12,8 @@
 	// suspectAfter is the number of consecutive exchanges that an instance of another data centre may
 	// leave unanswered before it is a suspect and others are preferred.
 	suspectAfter = 2
-	// suspectProbeOneIn is the odds (one exchange in so many) of ignoring suspicion and picking among
-	// all instances of a data centre.
+	// One exchange in suspectProbeOneIn ignores suspicion and picks among all instances of a data
+	// centre.
 	suspectProbeOneIn = 8
 )
 
@@ -27,8 +27,8 @@
 	sequence    uint64
 	// timestamp is the sender's clock in its latest message.
 	timestamp time.Duration
-	// lastSeen is when the latest message was received, discoveredAt when the instance was first
-	// learned of, and lastSent when a status was last sent to it.
+	// lastSeen is when the latest message was received, discoveredAt when the instance was first learnt
+	// of, and lastSent when a status was last sent to it.
 	lastSeen     time.Time
 	discoveredAt time.Time
 	lastSent     time.Time
@@ -42,7 +42,7 @@
 	// sourceLost says that the instance's reads of the store fail.
 	sourceLost bool
 	revision   shelfshelf.Revision
-	// recalled says that the instance knows what customers used before it started.
+	// recalled says that the instance has learnt the customers' usage from before it started.
 	recalled bool
 	// unanswered is the number of consecutive exchanges without an answer.
 	unanswered int
@@ -60,7 +60,8 @@
 }
 
 // accept updates the peer from a message. It returns false, and changes nothing, if the message is not
-// newer than the last one or the peer's address is not known.
+// newer than the last one or the peer's address is not known. The caller must hold the mutex of the
+// Node.
 func (p *peerState) accept(m message, now time.Time) bool {
 	newer := m.status.Incarnation > p.incarnation ||
 		m.status.Incarnation == p.incarnation && m.status.Sequence > p.sequence
@@ -81,7 +82,7 @@
 }
 
 // ensurePeer returns the state of an instance, adding it if it is new and updating its address. The
-// lock must be held.
+// caller must hold n.mu.
 func (n *Node) ensurePeer(instance shelfshelf.Instance, now time.Time) *peerState {
 	p := n.peers[instance.ID]
 	if p == nil {
@@ -100,7 +101,7 @@
 }
 
 // storeDigest stores a digest and returns true if it is newer than the known one. A digest received
-// directly from another data centre is marked to be forwarded. The lock must be held.
+// directly from another data centre is marked to be forwarded. The caller must hold n.mu.
 func (n *Node) storeDigest(digest shelfshelf.Digest, now time.Time, direct bool) bool {
 	own := digest.DataCentre == n.Self.DataCentre
 	if own && n.isAggregator(n.Self.ID) {
@@ -123,7 +124,7 @@
 
 // takePendingDigests returns the digests to be forwarded that fit into room bytes, and always at least
 // one if any is due; the others wait for the next status. At 600 targets and 520 customers a digest
-// takes about 20 KB, and a message larger than maxDatagramBytes is not sent. The lock must be held.
+// takes about 20 KB, and a message larger than maxDatagramBytes is not sent. The caller must hold n.mu.
 func (n *Node) takePendingDigests(now time.Time, room int) []shelfshelf.Digest {
 	var digests []shelfshelf.Digest
 	for _, c := range n.dataCentres {
@@ -142,8 +143,8 @@
 	return digests
 }
 
-// expirePeers marks instances of this data centre as silent or dormant, and deletes those that have
-// been dormant for dormantRetention. The lock must be held.
+// expirePeers marks instances of this data centre as silent or dormant, and deletes those that have been
+// dormant for dormantRetention. The caller must hold n.mu.
 func (n *Node) expirePeers(now time.Time) {
 	for id, p := range n.peers {
 		last := p.lastSeen
@@ -166,7 +167,7 @@
 }
 
 // countLiveLocals returns the number of instances of this data centre that have been heard from and are
-// not marked silent, including this one. The lock must be held.
+// not marked silent, including this one. The caller must hold n.mu.
 func (n *Node) countLiveLocals() int {
 	count := 1
 	for _, p := range n.peers {
@@ -254,9 +255,9 @@
 	storeRetryIntervalPerInstance = 100 * time.Millisecond
 )
 
-// Pace returns the mean interval between reads of the store by this instance while the store fails for
-// the first few instances of its data centre. It returns 0 while the store doesn't fail for them, or if
-// this instance is one of them.
+// Pace returns the mean interval between reads of the store by this instance while reads fail for the
+// first few instances of its data centre. It returns 0 while they succeed, or if this instance is one of
+// the first few.
 func (n *Node) Pace() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -376,8 +377,8 @@
 // assumed to send requests.
 const rolloutGracePeriod = 4 * time.Second
 
-// Addresses returns the addresses of the other instances that were heard from or learned of recently,
-// in this data centre or in all.
+// Addresses returns the addresses of the other instances that were heard from or learnt of recently, in
+// this data centre or in all.
 func (n *Node) Addresses(all bool) []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/gossip/remote_instances.go
+++ b/gossip/remote_instances.go
@@ -12,12 +12,12 @@
 
 const (
 	// remoteReadStagger is the delay between instances of a data centre, in their order, before each
-	// reads the other data centres' partitions of the directory, unless another instance has told it
-	// their content.
+	// reads the other data centres' partitions of the directory. An instance that gets their content
+	// from another one in the meantime doesn't read them.
 	remoteReadStagger = 100 * time.Millisecond
-	// remoteDiscoveryDelay is how long after a first start of the deployment the instances of other
-	// data centres are looked up; most have announced themselves by then.
-	remoteDiscoveryDelay = maxAnnounceDelay + 300*time.Millisecond
+	// remoteDiscoveryDelay is how long after a first start of the deployment the instances of other data
+	// centres are looked up; most have registered by then.
+	remoteDiscoveryDelay = maxRegistrationDelay + 300*time.Millisecond
 )
 
 // directoryPartition returns the partition of the directory that holds a data centre's instances. The
--- a/gossip/wire.go
+++ b/gossip/wire.go
@@ -279,7 +279,7 @@
 	return wire
 }
 
-// membersFromWire leaves out members whose addresses are invalid; they cannot own engines.
+// membersFromWire leaves out members whose addresses are invalid; they cannot own targets.
 func membersFromWire(wire []wireMember) []shelfshelf.Member {
 	members := make([]shelfshelf.Member, 0, len(wire))
 	for _, member := range wire {
