--- a/catalog/backoff.go
+++ b/catalog/backoff.go
@@ -22,8 +22,8 @@
 // history: without it, five readers made 330 calls a second for 14 s. Changes arrive up to this much later.
 const minFullReadInterval = 500 * time.Millisecond
 
-// readBackoff logs the loss and the return of the source for one kind of read, and delays the next read after
-// a failure.
+// readBackoff logs when one kind of read of the source begins to fail and when it succeeds again, and
+// delays the next read after a failure.
 type readBackoff struct {
 	catalog  *Catalog
 	name     string
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -53,27 +53,28 @@
 	Clock  shelfshelf.Clock
 	Log    *log.Logger
 	Source shelfshelf.CatalogSource
-	// Follow returns the age of the data at which this instance reads the source itself. 0 means that
-	// it always reads; the other instances get changes from it. Nil means 0.
+	// Follow returns the age that the data must reach before this instance reads the source itself. 0
+	// means that it always reads (a regular reader); the other instances get changes from it. Nil means
+	// 0.
 	Follow func() time.Duration
 	// Begin reports whether this instance, while it has no data yet, reads the source instead of
 	// waiting for data from another instance. Nil means that it always does.
 	Begin func() bool
-	// Pace returns the mean time between two reads of this instance while the reads of other instances
-	// that come before it fail; 0 while they don't fail. Nil means 0.
+	// Pace returns the mean interval between reads by this instance while reads fail for the first few
+	// instances of its data centre; 0 while they succeed. Nil means 0.
 	Pace func() time.Duration
 	// ConfirmPeriod returns how long one read waits for changes of the configuration. The data is
 	// confirmed that often, so that its age stays below twice this period. Nil means one second.
 	ConfirmPeriod func() time.Duration
-	// Changed is called, without locks held, after the configuration or the targets have changed, with
+	// Changed is called, without mu held, after the configuration or the targets have changed, with
 	// the address of the instance that sent them, or FromSource. May be nil.
 	Changed func(from string)
-	// Returned is called, without locks held, when the source is found to have been restored from an
+	// Returned is called, without mu held, when the source is found to have been restored from an
 	// older copy. May be nil.
 	Returned func()
-	// Ordered is called with the rollouts that a read of the source returned. The source had no others
-	// at version asOf. May be nil.
-	Ordered func(orders []shelfshelf.Rollout, asOf uint64)
+	// Ordered is called with the rollouts that a read of the source returned. asOf is the position of
+	// the source up to which they are complete. May be nil.
+	Ordered func(rollouts []shelfshelf.Rollout, asOf uint64)
 	// Evacuations is called with the evacuation update that a read of the source returned. May be nil.
 	Evacuations func(update shelfshelf.EvacuationUpdate)
 
@@ -83,7 +84,8 @@
 	// retainedUntil holds the targets that are missing from the source's list but still used, with the
 	// time until which they are.
 	retainedUntil map[shelfshelf.TargetName]time.Time
-	// unreadable holds the entries of the list that don't decode to a usable target, with the reason.
+	// unreadable holds the entries of the list that don't decode to a usable target, with the decoding
+	// error.
 	unreadable map[shelfshelf.TargetName]string
 	// expiryWake wakes runExpiry when there is a new retained target or suspect.
 	expiryWake chan struct{}
@@ -96,9 +98,9 @@
 	changes []listChange
 	// newestRevision is the highest configuration revision that any instance has reported.
 	newestRevision shelfshelf.Revision
-	// restoredAt is when the source was found to have been restored from an older copy, suspects are
-	// the targets that it may since wrongly list as ready, and departures are the targets that were
-	// removed recently.
+	// restoredAt is when the source was found to have been restored from an older copy. suspects are the
+	// targets that it may wrongly list as ready since then. departures are the targets that were removed
+	// recently.
 	restoredAt time.Time
 	suspects   map[shelfshelf.TargetName]shelfshelf.Target
 	departures map[shelfshelf.TargetName]departure
@@ -138,7 +140,8 @@
 	return nil
 }
 
-// pollConfigurationOnce reads the source once and returns the cursor of the next read.
+// pollConfigurationOnce reads the source once and returns the cursor of the next read; 0, for a full
+// read, after a failure.
 func (c *Catalog) pollConfigurationOnce(ctx context.Context, backoff *readBackoff, cursor uint64, wait time.Duration) uint64 {
 	start := c.Clock.Now()
 	var update shelfshelf.ConfigurationUpdate
@@ -178,8 +181,8 @@
 	return c.ConfirmPeriod()
 }
 
-// waitUntilDue waits until this instance has to read the source, either as a regular reader or because
-// the data from other instances is too old. It returns false when the context ends.
+// waitUntilDue waits until this instance has to read the source, either as a regular reader or as a
+// fallback because the data from other instances is too old. It returns false when the context ends.
 func (c *Catalog) waitUntilDue(ctx context.Context, freshness func() time.Time, slack time.Duration) bool {
 	for ctx.Err() == nil {
 		if c.readNeeded(freshness, slack) && c.mayReadAtStart(freshness) && c.waitForTurn(ctx, freshness, slack) {
@@ -204,9 +207,10 @@
 	return min(max(remaining, startCheckInterval), takeoverCheckInterval)
 }
 
-// waitForTurn waits for a random delay while the source fails other instances, and then reports
-// whether a read is still needed. When all of 295 instances retried three times a second, a store that
-// was down for 8 s got 10,000 calls. The first instance whose read succeeds sends the data to the others.
+// waitForTurn waits for a random delay while reads of the source fail for other instances, and then
+// reports whether a read is still needed. When all of 295 instances retried three times a second, a
+// store that was down for 8 s got 10,000 calls. The first instance whose read succeeds sends the data to
+// the others.
 func (c *Catalog) waitForTurn(ctx context.Context, freshness func() time.Time, slack time.Duration) bool {
 	if c.Pace == nil {
 		return true
@@ -302,7 +306,7 @@
 		c.confirmIfCurrent(configuration, validAt)
 		return
 	}
-	// The index is built without the lock: every request waits for the lock, and building an index of
+	// The index is built without holding c.mu: every request needs that mutex, and building an index of
 	// many routes takes milliseconds.
 	index := NewIndex(configuration)
 	c.mu.Lock()
@@ -355,8 +359,8 @@
 	c.confirmIfCurrent(&shelfshelf.Configuration{Revision: revision}, validAt)
 }
 
-// HeardOf records a revision that another instance has as its current one. It reports whether the revision
-// is higher than all reported before and newer than the current one here.
+// HeardOf records the current revision of another instance. It reports whether the revision is higher
+// than all reported before and newer than the current one here.
 func (c *Catalog) HeardOf(revision shelfshelf.Revision) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/catalog/changes.go
+++ b/catalog/changes.go
@@ -26,9 +26,9 @@
 	Removed []shelfshelf.TargetName
 }
 
-// recordChange records which targets a change affected. The caller holds the lock. A change within one
-// version, such as another instance's snapshot of the same version, can't be addressed by a version, so it
-// clears the recorded changes.
+// recordChange records the targets that a change of the list affected. The caller must hold c.mu. A
+// change that leaves the version as it is, such as another instance's snapshot of the same version,
+// can't be found by version, so it clears the recorded changes.
 func (c *Catalog) recordChange(previousVersion uint64, names []shelfshelf.TargetName) {
 	switch {
 	case c.targetsVersion > previousVersion && previousVersion > 0 && shelfshelf.EraOf(previousVersion) == shelfshelf.EraOf(c.targetsVersion):
@@ -58,7 +58,7 @@
 }
 
 // changedSince returns the names of the targets that changed after the given version of the list. The
-// result known is false if not all changes since then are recorded. The caller holds the lock.
+// result known is false if not all changes since then are recorded. The caller must hold c.mu.
 func (c *Catalog) changedSince(after uint64) (names map[shelfshelf.TargetName]bool, known bool) {
 	if after == 0 || len(c.changes) == 0 || after < c.changes[0].previousVersion {
 		return nil, false
--- a/catalog/restore.go
+++ b/catalog/restore.go
@@ -24,7 +24,7 @@
 
 // detectRestore reports whether a list version is the first one after the source was restored from an
 // older copy. The copy lists targets in an older state, so those that are known to be leaving or removed
-// become suspects for a while. The caller holds the lock.
+// become suspects for a while. The caller must hold c.mu.
 func (c *Catalog) detectRestore(version uint64, now time.Time) bool {
 	if c.targetsVersion == 0 || shelfshelf.EraOf(version) <= shelfshelf.EraOf(c.targetsVersion) {
 		return false
@@ -47,7 +47,7 @@
 }
 
 // restoreGraceEnd returns until when a target that is missing from a full list is retained because the
-// source was restored from a copy that may be older than the target. The caller holds the lock.
+// source was restored from a copy that may be older than the target. The caller must hold c.mu.
 func (c *Catalog) restoreGraceEnd(name shelfshelf.TargetName) time.Time {
 	if c.restoredAt.IsZero() || c.targets[name].Leaving {
 		return time.Time{}
@@ -55,7 +55,7 @@
 	return c.restoredAt.Add(missingTargetGrace)
 }
 
-// recordDeparture remembers a target that was removed from the list. The caller holds the lock.
+// recordDeparture remembers a target that was removed from the list. The caller must hold c.mu.
 func (c *Catalog) recordDeparture(target shelfshelf.Target, now time.Time) {
 	if c.departures == nil {
 		c.departures = make(map[shelfshelf.TargetName]departure)
@@ -69,7 +69,7 @@
 }
 
 // markSuspect returns the target, marked as leaving if it is a suspect, so that it gets no new requests.
-// The caller holds the lock.
+// The caller must hold c.mu.
 func (c *Catalog) markSuspect(target shelfshelf.Target, now time.Time) shelfshelf.Target {
 	suspect, isSuspect := c.suspects[target.Name]
 	if isSuspect && now.Sub(c.restoredAt) < suspectPeriod && suspect.SameLife(target) {
@@ -79,7 +79,7 @@
 }
 
 // clearSuspects clears the suspects once suspectPeriod is over and reports whether there were any. The
-// caller holds the lock.
+// caller must hold c.mu.
 func (c *Catalog) clearSuspects(now time.Time) bool {
 	if len(c.suspects) == 0 || now.Sub(c.restoredAt) < suspectPeriod {
 		return false
--- a/catalog/snapshot.go
+++ b/catalog/snapshot.go
@@ -35,7 +35,7 @@
 	return c.snapshot(maps.Keys(c.targets))
 }
 
-// snapshot returns a snapshot of the named targets without the expired ones. The caller holds the lock.
+// snapshot returns a snapshot of the named targets without the expired ones. The caller must hold c.mu.
 func (c *Catalog) snapshot(names iter.Seq[shelfshelf.TargetName]) Snapshot {
 	snapshot := Snapshot{Version: c.targetsVersion, At: c.targetsValidAt, KeptUntil: make(map[shelfshelf.TargetName]time.Time)}
 	now := c.Clock.Now()
--- a/catalog/targets.go
+++ b/catalog/targets.go
@@ -43,9 +43,9 @@
 	return c.Source.ReadTargets(ctx)
 }
 
-// outageGraceEnd returns until when a target that is missing from a full list is retained. Right after an
-// outage it may only have been unable to renew its entry; a target whose entry is removed while the source can
-// be read has left. The caller holds the lock.
+// outageGraceEnd returns until when a target that is missing from a full list is retained. Right after
+// an outage it may only have been unable to renew its entry; a target whose entry is removed while the
+// source can be read has left. The caller must hold c.mu.
 func (c *Catalog) outageGraceEnd(name shelfshelf.TargetName) time.Time {
 	if until, retained := c.retainedUntil[name]; retained {
 		return until
@@ -112,8 +112,8 @@
 	c.notify(from)
 }
 
-// recordUnreadable records the entries that don't decode to a usable target. It logs each one when it becomes
-// unreadable or its reason changes, not at every read. The caller holds the lock.
+// recordUnreadable records the entries that don't decode to a usable target. It logs each one when it
+// becomes unreadable or its reason changes, not at every read. The caller must hold c.mu.
 func (c *Catalog) recordUnreadable(update shelfshelf.TargetsUpdate) {
 	previous := c.unreadable
 	if update.Whole || previous == nil {
@@ -141,8 +141,8 @@
 	return len(c.unreadable)
 }
 
-// removeTarget removes a target, or retains it if until is in the future. It reports whether that changed
-// the state of the target. The caller holds the lock.
+// removeTarget removes a target, or retains it if until is in the future. It reports whether that
+// changed the state of the target. The caller must hold c.mu.
 func (c *Catalog) removeTarget(name shelfshelf.TargetName, until, now time.Time) bool {
 	if _, known := c.targets[name]; !known {
 		return false
@@ -195,7 +195,7 @@
 	}
 }
 
-// expiryWakeChannel returns the channel that wakes runExpiry. The caller holds the lock.
+// expiryWakeChannel returns the channel that wakes runExpiry. The caller must hold c.mu.
 func (c *Catalog) expiryWakeChannel() chan struct{} {
 	if c.expiryWake == nil {
 		c.expiryWake = make(chan struct{}, 1)
@@ -203,14 +203,14 @@
 	return c.expiryWake
 }
 
-// retainTarget keeps a target that is missing from the source's list until the given time. The caller holds
-// the lock.
+// retainTarget keeps a target that is missing from the source's list until the given time. The caller
+// must hold c.mu.
 func (c *Catalog) retainTarget(name shelfshelf.TargetName, until time.Time) {
 	c.retainedUntil[name] = until
 	c.wakeExpiry()
 }
 
-// wakeExpiry wakes runExpiry. The caller holds the lock.
+// wakeExpiry wakes runExpiry. The caller must hold c.mu.
 func (c *Catalog) wakeExpiry() {
 	select {
 	case c.expiryWakeChannel() <- struct{}{}:
