--- a/catalog.go
+++ b/catalog.go
@@ -16,8 +16,8 @@
 	Bundle   *Bundle
 	// Encoded is the encoding in which instances exchange the configuration.
 	Encoded []byte
-	// Flaws are the fields that can't be decoded. They don't prevent the configuration from being in
-	// force.
+	// Flaws are the fields that can't be decoded. They don't prevent the configuration from being
+	// applied.
 	Flaws []Flaw
 }
 
@@ -35,8 +35,8 @@
 type ConfigurationUpdate struct {
 	// Configuration is nil if nothing has changed.
 	Configuration *Configuration
-	// Rollouts are the rollouts that were read, with their progress. They include the newest of all
-	// that had been ordered at the source's position Cursor.
+	// Rollouts are the rollouts that were read, with their progress. They include the newest of all that
+	// had been ordered as of the source's position Cursor.
 	Rollouts []Rollout
 	// Evacuations holds the changes to the evacuated data centres.
 	Evacuations EvacuationUpdate
--- a/status.go
+++ b/status.go
@@ -13,8 +13,8 @@
 	Incarnation uint64
 	// Sequence numbers the statuses of an incarnation.
 	Sequence uint64
-	// Revision is the configuration in force at the sender, 0 if there is none. RevisionAge is the time
-	// since it was last known to be the newest.
+	// Revision is the sender's current configuration, 0 if there is none. RevisionAge is the time since
+	// it was last known to be the newest.
 	Revision    Revision
 	RevisionAge time.Duration
 	// TargetsVersion is the version of the sender's list of targets, and TargetsAge the age of the
@@ -43,7 +43,7 @@
 	// Words are the announcements of targets that the sender knows. If there are many, each status
 	// contains a part of them.
 	Words []TargetWord
-	// Rollouts are the rollouts that the sender knows. They include all that had been ordered at the
+	// Rollouts are the rollouts that the sender knows. They include all that had been ordered as of the
 	// store's position OrdersAsOf.
 	Rollouts   []Rollout
 	OrdersAsOf uint64
