--- a/crashes/keeper_test.go
+++ b/crashes/keeper_test.go
@@ -104,7 +104,7 @@
 		t.Errorf("quarantine after a restart: %+v, %t", quarantine, held)
 	}
 	if _, held := restarted.Held(7, "r"); held {
-		t.Error("a request beside it is quarantined")
+		t.Error("a request that ran beside it is quarantined")
 	}
 }
 
--- a/crashes/record_test.go
+++ b/crashes/record_test.go
@@ -142,8 +142,8 @@
 	}
 }
 
-// A request that only ran beside crashes is served again after its quarantine. Once it has completed, it
-// is no longer quarantined.
+// A request that was running in crashes without causing them is served again after its quarantine. Once
+// it has completed, it is no longer quarantined.
 func TestCompletedProbeEndsQuarantine(t *testing.T) {
 	t.Parallel()
 	clock := clockwork.NewFakeClock()
--- a/crashes/witness_test.go
+++ b/crashes/witness_test.go
@@ -15,8 +15,8 @@
 	"github.com/shelfshelf/shelfshelf/crashes"
 )
 
-// A target's end counts against the requests that it ran only if it crashed: it had not announced a
-// shutdown and was still listed.
+// The end of a target's process counts against the requests that it was running only if it was a crash:
+// the target had not announced a shutdown and was still listed.
 func TestOnlyCrashesCount(t *testing.T) {
 	t.Parallel()
 	earlier, later := time.UnixMilli(1000), time.UnixMilli(2000)
