--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -56,8 +56,8 @@
 					}},
 				}},
 				Rollouts: []shelfshelf.Rollout{{
-					Pool: "p", Revision: rapid.Uint64().Draw(t, "order"), Version: "v2", Period: 12 * time.Second,
-					Age: time.Duration(rapid.Int64().Draw(t, "age of the order")), Moving: time.Second,
+					Pool: "p", Revision: rapid.Uint64().Draw(t, "revision of the rollout"), Version: "v2", Period: 12 * time.Second,
+					Age: time.Duration(rapid.Int64().Draw(t, "age of the rollout")), Moving: time.Second,
 					State:  shelfshelf.RolloutState(rapid.Uint8Range(0, 4).Draw(t, "state")),
 					Halted: rapid.Bool().Draw(t, "halted"), Stored: rapid.Uint64().Draw(t, "stored"),
 					Barred: []shelfshelf.TargetVersion{"v0", "v1"},
