--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -441,8 +441,9 @@
 }
 
 // Guards against full reads without a pause, and against reporting the source as lost, when it drops its
-// change history again and again. When the platform's store did so six times a second for 14 s, the readers
-// of two data centres made 5,618 calls by alternating full reads and polls, and counted as cut off from it.
+// change history again and again. When the platform's store did so six times a second for 14 s, the
+// readers of two data centres made 5,618 calls by alternating full reads and polls, and reported the
+// source as lost.
 func TestLostHistoryLimitsCalls(t *testing.T) {
 	s := &sourceWithoutHistory{fakeSource: &fakeSource{revision: 3}}
 	runWithCatalog(t, &catalog.Catalog{Source: s}, func(c *catalog.Catalog) {
