--- a/gossip/directory.go
+++ b/gossip/directory.go
@@ -20,10 +20,10 @@
 	// minRetryDelay and maxRetryDelay bound the delay after a failed call to the directory. The delay
 	// doubles with each failure, since the platform also counts the calls that it rejects.
 	minRetryDelay = 300 * time.Millisecond
+	maxRetryDelay = 2400 * time.Millisecond
 	// registrationLossWindow is the age up to which a registration may be lost when the store is
 	// restored from a copy that is some seconds old.
 	registrationLossWindow = time.Minute
-	maxRetryDelay          = 2400 * time.Millisecond
 )
 
 // directoryLoop discovers the other instances, and registers this one if it is not listed yet. An
