--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -9,15 +9,15 @@
 )
 
 // checkQuarantine refuses a request that keeps crashing the targets that run it, no matter which
-// instance receives it or which ID a retry has. Without it, one request ended 22 engines within 14 s,
-// each with up to six other streams.
+// instance receives it or which ID a retry has. Without this check, one request crashed 22 engines
+// within 14 s, each with up to six other streams.
 func (c *request) checkQuarantine() *refusal {
-	hold, held := c.server.Crashes.Held(c.fingerprint, c.call.ID)
-	if !held {
+	quarantine, quarantined := c.server.Crashes.Held(c.fingerprint, c.call.ID)
+	if !quarantined {
 		return nil
 	}
 	c.server.Metrics.countQuarantined()
-	return c.refusalFor(fmt.Sprintf("held back: %d targets have ended under this request", hold.Ends), hold.Left)
+	return c.refusalFor(fmt.Sprintf("held back: %d targets have ended under this request", quarantine.Ends), quarantine.Left)
 }
 
 // checkForCrash asks the witness to check whether the target's process has ended, if the exchange
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -16,7 +16,7 @@
 const (
 	// maxResponseBytes is the maximum size of a plain response.
 	maxResponseBytes = 8 << 20
-	// attemptTimeoutFactor times the expected time is the timeout of one attempt of a retryable
+	// attemptTimeoutFactor times the lease's expected time is the timeout of one attempt of a retryable
 	// request, within the two limits below.
 	attemptTimeoutFactor = 8
 	// minAttemptTimeout is the lower limit of that timeout. maxAttemptTimeoutShare is the upper limit,
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -82,9 +82,9 @@
 	// lastAnswer is the information in the headers of the latest target response.
 	lastAnswer   shelfshelf.Answer
 	cachedTokens int
-	// ownersAsked is how many owners were asked for the latest lease. chosenLocally says that no owner
-	// granted it and this instance chose the target by what it knew.
-	ownersAsked   int
+	// slotRequests is how many owners were sent a slot request for the latest lease. chosenLocally says
+	// that no owner granted it and this instance chose the target by what it knew.
+	slotRequests  int
 	chosenLocally bool
 
 	status    int
@@ -132,7 +132,7 @@
 	}
 	body, err := json.Marshal(problemDetails{Title: r.text, Status: r.status})
 	if err != nil {
-		c.server.Log.Error("A refusal can't be encoded.", "request", c.call.ID, "error", err)
+		c.server.Log.Error("Could not encode a refusal.", "request", c.call.ID, "error", err)
 	}
 	header.Set("Content-Length", strconv.Itoa(len(body)))
 	c.writer.WriteHeader(r.status)
@@ -172,7 +172,7 @@
 	}
 	if c.target != "" {
 		fields = append(fields, "target", c.target, "sent", c.sentAttempts, "turnedAway", c.rejections, "waited", c.queueTime,
-			"expected", c.expectedTime, "inFlight", c.targetInFlight, "cached", c.cachedTokens, "asked", c.ownersAsked, "alone", c.chosenLocally)
+			"expected", c.expectedTime, "inFlight", c.targetInFlight, "cached", c.cachedTokens, "asked", c.slotRequests, "alone", c.chosenLocally)
 	}
 	if c.lastAnswer.LoadKnown {
 		fields = append(fields, "targetRunning", c.lastAnswer.Running, "targetWaiting", c.lastAnswer.Waiting)
@@ -252,7 +252,7 @@
 		c.expectedTime = lease.Expected
 		c.targetInFlight = lease.InFlight
 		c.cachedTokens = lease.CachedTokens
-		c.ownersAsked = lease.Asked
+		c.slotRequests = lease.Asked
 		c.chosenLocally = lease.Alone
 		return lease, nil
 	}
@@ -285,7 +285,8 @@
 	return nil, c.refusalFor("the regions allowed have changed", unavailableRetryAfter)
 }
 
-// retryDelay returns the Retry-After for a request that has failed at its targets.
+// retryDelay returns the Retry-After for a request that has failed at its targets, which includes the
+// backoff of the targets.
 func (c *request) retryDelay() time.Duration {
 	return max(unavailableRetryAfter, c.server.Balancer.RestLeft(c.balancerNeed()))
 }
@@ -381,7 +382,8 @@
 	return c.sentAttempts - c.rejections
 }
 
-// recordFailedAttempt counts and logs a failed attempt and has a possible crash of its target checked.
+// recordFailedAttempt counts and logs a failed attempt, and has the witness check for a crash of its
+// target if the attempt broke off.
 func (c *request) recordFailedAttempt(lease *balance.Lease, began time.Time, cause error) {
 	c.server.Metrics.countFailedAttempt()
 	fields := []any{
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -17,8 +17,8 @@
 	// stream that can be resumed at another target. minIdleTimeout is its lower limit.
 	idleTimeoutFactor = 3
 	minIdleTimeout    = time.Second
-	// firstEventTimeoutFactor times the expected time is the timeout before the first event, with
-	// minIdleTimeout as its lower limit too.
+	// firstEventTimeoutFactor times the lease's expected time is the timeout before the first event,
+	// with minIdleTimeout as its lower limit too.
 	firstEventTimeoutFactor = 3
 )
 
