--- a/evacuation/record.go
+++ b/evacuation/record.go
@@ -10,9 +10,9 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-// rollbackGrace is how long an evacuation stays in force after the store was restored from an older
+// restoreGrace is how long an evacuation stays in force after the store was restored from an older
 // copy that lacks it. The operator may have to order the evacuation again.
-const rollbackGrace = 5 * time.Second
+const restoreGrace = 5 * time.Second
 
 // storeSource names the store as the source of an update in logs.
 const storeSource = "source"
@@ -49,12 +49,12 @@
 	r.apply(update, storeSource)
 }
 
-// Heard applies the state received from another instance.
+// Heard merges the state received from another instance.
 func (r *Record) Heard(known shelfshelf.Evacuated, from string) {
 	r.apply(shelfshelf.EvacuationUpdate{Whole: true, Begun: known.DataCentres, AsOf: known.AsOf}, from)
 }
 
-// apply applies an update if it is newer than the current state.
+// apply merges an update if its store position is newer than that of the current state.
 func (r *Record) apply(update shelfshelf.EvacuationUpdate, from string) {
 	r.mu.Lock()
 	if update.AsOf <= r.asOf {
@@ -78,9 +78,9 @@
 }
 
 // retainMissing keeps the current evacuations that the restored copy lacks until the grace period
-// ends. The caller must hold the lock.
+// ends. The caller must hold r.mu.
 func (r *Record) retainMissing(restored []shelfshelf.DataCentre) {
-	expiry := r.Clock.Now().Add(rollbackGrace)
+	expiry := r.Clock.Now().Add(restoreGrace)
 	for _, centre := range r.stored {
 		if slices.Contains(restored, centre) {
 			continue
@@ -92,7 +92,7 @@
 	}
 }
 
-// Told returns the state to send to other instances: the store's state, without retained evacuations.
+// Told returns the snapshot to send to other instances: the store's state, without retained evacuations.
 // It is called many times a second, so it also serves to expire retained evacuations.
 func (r *Record) Told() shelfshelf.Evacuated {
 	r.notifyIfChanged(storeSource)
@@ -102,7 +102,7 @@
 }
 
 // effective returns the data centres whose targets get no new requests, and drops expired retained
-// evacuations. The caller must hold the lock.
+// evacuations. The caller must hold r.mu.
 func (r *Record) effective() []shelfshelf.DataCentre {
 	if len(r.retained) == 0 {
 		return r.stored
@@ -121,7 +121,7 @@
 }
 
 // notifyIfChanged calls Changed if the set of evacuated data centres has changed. The caller must not
-// hold the lock.
+// hold r.mu.
 func (r *Record) notifyIfChanged(from string) {
 	r.mu.Lock()
 	evacuated := r.effective()
--- a/evacuation/record_test.go
+++ b/evacuation/record_test.go
@@ -26,7 +26,7 @@
 
 // The update with the highest store position wins, whichever source it comes from and however late it
 // arrives.
-func TestNewestVersionWins(t *testing.T) {
+func TestNewestPositionWins(t *testing.T) {
 	record, _, reported := newRecord()
 	check := func(what string, want ...shelfshelf.DataCentre) {
 		t.Helper()
@@ -44,7 +44,7 @@
 	record.Read(shelfshelf.EvacuationUpdate{Begun: []shelfshelf.DataCentre{"c"}, Ended: []shelfshelf.DataCentre{"a"}, AsOf: 12})
 	check("incremental update", "b", "c")
 	record.Heard(shelfshelf.Evacuated{DataCentres: []shelfshelf.DataCentre{"a"}, AsOf: 12}, "other")
-	check("same version", "b", "c")
+	check("same position", "b", "c")
 	record.Read(shelfshelf.EvacuationUpdate{Whole: true, AsOf: 13})
 	check("complete read without evacuations")
 	if got := record.Told(); got.AsOf != 13 || len(got.DataCentres) != 0 || !record.Known() {
