--- a/retrybudget/budget.go
+++ b/retrybudget/budget.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// windowSlots is the number of slots that the window is divided into. Counts expire one slot at a
-	// time.
-	windowSlots = 20
-	// countedSlots is the number of slots that are counted. It is one more than windowSlots, because
-	// the newest slot is only partly over and the counts must cover a whole window.
-	countedSlots = windowSlots + 1
-	// safetyFactor is the part of the allowance that is used. It leaves room for instances that
+	// windowIntervals is the number of intervals that the window is divided into. Counts expire one interval
+	// at a time.
+	windowIntervals = 20
+	// countedIntervals is the number of intervals that are counted. It is one more than windowIntervals,
+	// because the newest interval is only partly over and the counts must cover a whole window.
+	countedIntervals = windowIntervals + 1
+	// safetyFactor is the fraction of the limit that is used. It leaves room for instances that
 	// restart with empty counts, and for targets whose windows start at other times.
 	safetyFactor = 0.6
 )
@@ -41,10 +41,10 @@
 }
 
 type poolCounts struct {
-	requests [countedSlots]int
-	retries  [countedSlots]int
-	// newestSlot is the number of the newest slot, counted since the budget was first used.
-	newestSlot int64
+	requests [countedIntervals]int
+	retries  [countedIntervals]int
+	// newestInterval is the number of the newest interval, counted since the budget was first used.
+	newestInterval int64
 }
 
 // SetLimits replaces the limits. A change of the window resets all counts.
@@ -62,7 +62,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	c := b.currentCounts(pool)
-	c.requests[c.newestSlot%countedSlots]++
+	c.requests[c.newestInterval%countedIntervals]++
 }
 
 // Take counts a retry and returns true, or returns false if the budget is exhausted.
@@ -71,7 +71,7 @@
 	defer b.mu.Unlock()
 	c := b.currentCounts(pool)
 	requests, retries := 0, 0
-	for i := range countedSlots {
+	for i := range countedIntervals {
 		requests += c.requests[i]
 		retries += c.retries[i]
 	}
@@ -80,29 +80,29 @@
 	if float64(retries+1) > allowed {
 		return false
 	}
-	c.retries[c.newestSlot%countedSlots]++
+	c.retries[c.newestInterval%countedIntervals]++
 	return true
 }
 
-// currentCounts returns a pool's counts after clearing the slots that have left the window. The caller
-// must hold the lock.
+// currentCounts returns a pool's counts after clearing the intervals that have left the window. The
+// caller must hold b.mu.
 func (b *Budget) currentCounts(pool shelfshelf.PoolName) *poolCounts {
 	if b.countsByPool == nil {
 		b.countsByPool = make(map[shelfshelf.PoolName]*poolCounts)
 		b.start = b.Clock.Now()
 	}
-	currentSlot := int64(b.Clock.Now().Sub(b.start) / (b.Limits.Window / windowSlots))
+	currentInterval := int64(b.Clock.Now().Sub(b.start) / (b.Limits.Window / windowIntervals))
 	c := b.countsByPool[pool]
 	if c == nil {
-		c = &poolCounts{newestSlot: currentSlot}
+		c = &poolCounts{newestInterval: currentInterval}
 		b.countsByPool[pool] = c
 	}
-	for c.newestSlot < currentSlot {
-		c.newestSlot++
-		c.requests[c.newestSlot%countedSlots] = 0
-		c.retries[c.newestSlot%countedSlots] = 0
-		if currentSlot-c.newestSlot > countedSlots {
-			c.newestSlot = currentSlot - countedSlots
+	for c.newestInterval < currentInterval {
+		c.newestInterval++
+		c.requests[c.newestInterval%countedIntervals] = 0
+		c.retries[c.newestInterval%countedIntervals] = 0
+		if currentInterval-c.newestInterval > countedIntervals {
+			c.newestInterval = currentInterval - countedIntervals
 		}
 	}
 	return c
