--- a/rollout/choose.go
+++ b/rollout/choose.go
@@ -8,18 +8,19 @@
 )
 
 // maxUnconfirmedHold is how long a version gets no requests while it isn't known whether a rollout to
-// it was ordered. The state of rollouts is confirmed every second. If it can't be read for longer than
-// this, the store has failed, and by the time it is back all targets of a pool may run new versions.
+// it was ordered. The state of rollouts is confirmed every second. If that state can't be read for
+// longer than this, the store has failed. All targets of a pool may run new versions by the time it is
+// back, and the pool would have no usable target until then.
 const maxUnconfirmedHold = 5 * time.Second
 
-// sighting records when a version was first seen: the store version of the target list, and the time.
+// sighting records when a version was first seen: the store position of the target list, and the time.
 type sighting struct {
-	version uint64
-	at      time.Time
+	position uint64
+	at       time.Time
 }
 
-// Targets sets the list of targets as of a version of the store.
-func (r *Record) Targets(targets []shelfshelf.Target, version uint64) {
+// Targets sets the list of targets as of a position of the store.
+func (r *Record) Targets(targets []shelfshelf.Target, position uint64) {
 	counts := make(map[shelfshelf.PoolName]map[shelfshelf.TargetVersion]int)
 	for _, target := range targets {
 		if counts[target.Pool] == nil {
@@ -44,7 +45,7 @@
 		}
 		for name := range poolCounts {
 			if _, seen := known[name]; !seen {
-				known[name] = sighting{version: version, at: now}
+				known[name] = sighting{position: position, at: now}
 			}
 		}
 	}
@@ -66,32 +67,32 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	unconfirmed := r.unconfirmed(pool)
-	o := r.rollouts[pool]
-	if o == nil {
+	tracked := r.rollouts[pool]
+	if tracked == nil {
 		return shelfshelf.VersionChoice{Ordered: len(unconfirmed) > 0, Others: true, Barred: unconfirmed}
 	}
 	now := r.Clock.Now()
-	rollout := o.current(now)
+	rollout := tracked.current(now)
 	choice := shelfshelf.VersionChoice{Ordered: true, Version: rollout.Version, Barred: append(unconfirmed, rollout.Barred...)}
 	switch {
 	case rollout.State == shelfshelf.RolloutCompleted, r.alreadyServing(rollout):
-		choice.Ordered = len(o.retired)+len(choice.Barred) > 0
-		choice.Retired, choice.Others = o.retired, true
+		choice.Ordered = len(tracked.retired)+len(choice.Barred) > 0
+		choice.Retired, choice.Others = tracked.retired, true
 	case rollout.Halted || rollout.State == shelfshelf.RolloutRolledBack:
 	case rollout.State == shelfshelf.RolloutMoving:
 		share := moveShare(rollout, r.Bounds.estimatedMoveTime(rollout))
 		choice.New = r.random() < share
 		choice.Trial = choice.New && share < 1
 	default:
-		r.chooseTrial(o, rollout, targets, &choice)
+		r.chooseTrial(tracked, rollout, targets, &choice)
 	}
 	return choice
 }
 
-// chooseTrial decides whether a request tries the new version; the lock is held.
-func (r *Record) chooseTrial(o *trackedRollout, rollout shelfshelf.Rollout, targets []shelfshelf.Target, choice *shelfshelf.VersionChoice) {
-	share := r.Bounds.shareSince(rollout, o.since)
-	if !o.allowsTrial(share, r.extraTrials(rollout)+o.extra) {
+// chooseTrial decides whether a request tries the new version. The caller must hold r.mu.
+func (r *Record) chooseTrial(tracked *trackedRollout, rollout shelfshelf.Rollout, targets []shelfshelf.Target, choice *shelfshelf.VersionChoice) {
+	share := r.Bounds.shareSince(rollout, tracked.since)
+	if !tracked.allowsTrial(share, r.extraTrials(rollout)+tracked.extra) {
 		return
 	}
 	var newTargets []shelfshelf.Target
@@ -124,14 +125,15 @@
 	return fraction * r.Bounds.Slack / float64(max(r.Instances(), 1))
 }
 
-// Serves reports whether the ordered version was already serving before it was ordered: no other usable
-// version is listed.
+// Serves reports whether the rollout's version was already serving before the rollout was ordered: no
+// other usable version is listed.
 func (r *Record) Serves(rollout shelfshelf.Rollout) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.alreadyServing(rollout)
 }
 
+// alreadyServing is Serves for a caller that already holds r.mu.
 func (r *Record) alreadyServing(rollout shelfshelf.Rollout) bool {
 	listed := r.targetCounts[rollout.Pool]
 	for version := range listed {
@@ -140,11 +142,11 @@
 		}
 	}
 	seen, known := r.firstSeen[rollout.Pool][rollout.Version]
-	return known && seen.version < rollout.Revision && listed[rollout.Version] > 0 &&
+	return known && seen.position < rollout.Revision && listed[rollout.Version] > 0 &&
 		rollout.State < shelfshelf.RolloutMoving && !rollout.Halted
 }
 
-// Listed returns the number of targets with the ordered version.
+// Listed returns the number of the pool's targets with the rollout's version.
 func (r *Record) Listed(rollout shelfshelf.Rollout) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -165,12 +167,12 @@
 }
 
 // unconfirmed returns the versions of a pool for which it isn't known yet whether a rollout was
-// ordered; the lock is held.
+// ordered. The caller must hold r.mu.
 func (r *Record) unconfirmed(pool shelfshelf.PoolName) []shelfshelf.TargetVersion {
 	var unconfirmed []shelfshelf.TargetVersion
 	now := r.Clock.Now()
 	for version, seen := range r.firstSeen[pool] {
-		if seen.version > r.asOf && now.Sub(seen.at) < maxUnconfirmedHold {
+		if seen.position > r.asOf && now.Sub(seen.at) < maxUnconfirmedHold {
 			unconfirmed = append(unconfirmed, version)
 		}
 	}
--- a/rollout/codec.go
+++ b/rollout/codec.go
@@ -38,7 +38,7 @@
 	}
 )
 
-// Report is what one instance has counted during one run.
+// Report is what one incarnation of an instance has counted.
 type Report struct {
 	Life   Life
 	Orders []Evidence
@@ -64,7 +64,6 @@
 	return content, eris.Wrap(err, "encode rollout report")
 }
 
-// trimTrailingZeros removes trailing zeros.
 func trimTrailingZeros(counts []uint64) []uint64 {
 	for len(counts) > 0 && counts[len(counts)-1] == 0 {
 		counts = counts[:len(counts)-1]
--- a/rollout/combine.go
+++ b/rollout/combine.go
@@ -7,9 +7,9 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-// evidence returns the evidence by one criterion on one route in the last intervals: the logarithm of
-// the mean, over the alternatives, of the targets' combined likelihood ratio, by the way of combining
-// them that gives the most.
+// evidence returns the evidence against the version by one criterion on one route in the last intervals:
+// the logarithm of the mean, over the alternatives, of the targets' combined likelihood ratio. Of the
+// ways to combine the targets, the one with the strongest evidence counts.
 func (j *Judge) evidence(criterion int, route shelfshelf.RouteName, window int, limit float64) float64 {
 	targets := j.ratiosByTarget(criterion, route, window)
 	lenient, strict := splitRatios(targets, len(criteria[criterion].lenient.alternatives))
@@ -27,7 +27,8 @@
 	return against
 }
 
-// ratiosByTarget returns the ratios of a criterion by target on a route in the last intervals.
+// ratiosByTarget returns the log-likelihood ratios of a criterion by target on a route in the last
+// intervals.
 func (j *Judge) ratiosByTarget(criterion int, route shelfshelf.RouteName, window int) map[shelfshelf.TargetName][]float64 {
 	targets := make(map[shelfshelf.TargetName][]float64)
 	j.sumRatios(criterion, j.closedIntervals[route], window, targets)
@@ -87,7 +88,8 @@
 	return most
 }
 
-// cappedEvidence combines targets, each of which counts for at most its share of the limit.
+// cappedEvidence combines targets, each of which counts for at most its share of the limit: the limit
+// divided by the number of targets that must show evidence, which is a fraction of all.
 func (j *Judge) cappedEvidence(targets map[shelfshelf.TargetName][]float64, limit, fraction float64) float64 {
 	needed := max(minBadTargets, int(math.Ceil(fraction*float64(len(targets)))))
 	maxRatio := limit / float64(min(needed, max(j.Targets, 1)))
@@ -112,8 +114,8 @@
 	return logMeanExp(sums)
 }
 
-// uncappedEvidence combines so many targets that the fraction of those bad on their own is near its
-// expected value.
+// uncappedEvidence combines the targets without a cap. It is meant for so many targets that the fraction
+// of those bad on their own is near its expected value.
 func uncappedEvidence(targets map[shelfshelf.TargetName][]float64) float64 {
 	var sums []float64
 	for _, target := range targets {
--- a/rollout/criteria.go
+++ b/rollout/criteria.go
@@ -46,7 +46,7 @@
 	// lenient applies to all tried targets. strict applies to ways of combining the evidence that leave
 	// out the worst targets or give them little weight.
 	lenient, strict oddsRatios
-	// maxBad limits the number of bad answers in total.
+	// maxBad limits the total number of bad answers, see maxFailedAnswers.
 	maxBad uint64
 	// histogram returns the times that the criterion is based on; nil if it isn't based on times.
 	histogram func(cell *Cell) *Histogram
@@ -59,7 +59,7 @@
 	strictSlowOdds  = oddsRatios{nullOdds: strictSlowNullOdds, alternatives: strictSlowAlternatives, moveNullOdds: 20, minMoveAlternative: 100}
 )
 
-// firstAnswerIndex is the index of that criterion in criteria.
+// firstAnswerIndex is the index of the criterion "first answers" in criteria.
 const firstAnswerIndex = 1
 
 var criteria = []criterion{
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -63,10 +63,13 @@
 
 // Cell counts the results of requests; the counts never decrease.
 type Cell struct {
+	// Answers counts all results, failures included.
 	Answers uint64
 	Failed  uint64
-	First   Histogram
-	Pace    Histogram
+	// First and Pace count the times to the first event or plain response, and per token, of the
+	// requests that didn't fail.
+	First Histogram
+	Pace  Histogram
 }
 
 func (c *Cell) observe(report shelfshelf.AttemptReport) {
@@ -101,7 +104,7 @@
 	Sent     Sent
 	// OldRunning is the number of requests that the instance has running at targets of other versions.
 	OldRunning int
-	// NewRunning is the same for targets of the new version.
+	// NewRunning is the number of requests that it has running at targets of the new version.
 	NewRunning int
 	// Moved reports that the instance no longer sends requests to old targets.
 	Moved bool
@@ -132,19 +135,19 @@
 	return sum
 }
 
-// Merger sums up the counts of all instances over all their runs. The zero value is ready to use.
+// Merger sums up the counts of all incarnations of all instances. The zero value is ready to use.
 type Merger struct {
 	latest map[Life]*Evidence
 }
 
-// Life is one run of an instance, from start to end.
+// Life identifies one incarnation of an instance: one run of its process, from start to end.
 type Life struct {
 	Instance    shelfshelf.InstanceID
 	Incarnation uint64
 }
 
-// Take adds the counts of one instance and returns the increments since its previous report. The counts
-// of runs that have ended are kept.
+// Take merges the counts of one incarnation and returns the increments since its previous report. The
+// counts of incarnations that have ended are kept.
 func (m *Merger) Take(life Life, received Evidence) map[CellName]*Cell {
 	if m.latest == nil {
 		m.latest = make(map[Life]*Evidence)
@@ -168,7 +171,7 @@
 	return increments
 }
 
-// Sum returns the requests sent by all instances in all their runs.
+// Sum returns the requests sent by all incarnations of all instances.
 func (m *Merger) Sum() Sent {
 	var sent Sent
 	for _, received := range m.latest {
--- a/rollout/interval.go
+++ b/rollout/interval.go
@@ -13,7 +13,7 @@
 // and what its targets answered before tells nothing then.
 var windows = []int{10, longestFiniteWindow, math.MaxInt}
 
-// longestFiniteWindow is the longest window apart from the unbounded one.
+// longestFiniteWindow is the longest window apart from the unbounded one, in rounds.
 const longestFiniteWindow = 27
 
 // interval holds the answers of a time interval on one route.
@@ -50,8 +50,8 @@
 	s.newTargets[target].add(cell)
 }
 
-// hasEnoughAnswers reports whether an interval can be closed: by its answers of old targets, or during
-// the move by those of both, since nearly all requests go to new targets then.
+// hasEnoughAnswers reports whether an interval has enough answers of old targets to be closed. During
+// the move the answers of new targets count too, since nearly all requests go there then.
 func (s *interval) hasEnoughAnswers() bool {
 	answers := s.old.Answers
 	if s.moving {
@@ -97,15 +97,15 @@
 
 // tabulate counts the answers of one new target and of the old ones.
 func (s *interval) tabulate(c criterion, newCell, baseline *Cell) (contingencyTable, bool) {
-	beside := &s.old
-	if s.moving && beside.Answers < minOldAnswers {
+	oldCell := &s.old
+	if s.moving && oldCell.Answers < minOldAnswers {
 		// Nearly all requests go to the new version by now, so the old version's earlier answers are
 		// used.
-		beside = baseline
+		oldCell = baseline
 	}
 	var table contingencyTable
 	var known bool
-	if table.oldBad, table.oldTotal, known = c.count(beside, baseline); !known {
+	if table.oldBad, table.oldTotal, known = c.count(oldCell, baseline); !known {
 		return table, false
 	}
 	table.newBad, table.newTotal, _ = c.count(newCell, baseline)
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -64,8 +64,8 @@
 	// Slower is the ratio of the new version's time to first answer to the old version's, as the
 	// geometric mean over the tried targets; 0 if unknown.
 	Slower float64
-	// Against is the strongest evidence against the version, a logarithm; the version is bad from Limit
-	// on.
+	// Against is the strongest evidence against the version, on a logarithmic scale; the version is bad
+	// if it reaches Limit.
 	Against float64
 	Limit   float64
 }
--- a/rollout/keeper.go
+++ b/rollout/keeper.go
@@ -49,7 +49,7 @@
 	Log    *log.Logger
 	Record *Record
 	Store  shelfshelf.RolloutStore
-	// Self identifies this instance and its current run.
+	// Self identifies this incarnation of this instance.
 	Self Life
 	// Leads reports whether this instance is the one that writes to the store. Asks reports whether it
 	// polls others at all: the first instance of each data centre does, so that a network partition
@@ -84,7 +84,7 @@
 	// movedAt is the time since which no responding instance sends to old targets; zero before.
 	movedAt      time.Time
 	sendingToOld int
-	// answersAtMove is the number of the new version's answers counted by movedAt.
+	// answersAtMove is the number of the new version's answers that had been counted at movedAt.
 	answersAtMove uint64
 	// oldRunning and newRunning count the running requests at targets of old and new versions in the
 	// last round.
@@ -146,16 +146,16 @@
 // evaluateAll evaluates each rollout by the reports of the instances and takes the next step.
 func (k *Keeper) evaluateAll(ctx context.Context, active []shelfshelf.Rollout, reports []Report, unreachable int, leads bool) {
 	for _, rollout := range active {
-		t := k.progress[rollout.Pool]
-		if t == nil || t.revision != rollout.Revision {
-			t = &rolloutProgress{revision: rollout.Revision, began: k.Clock.Now(), drainedInstances: make(map[shelfshelf.InstanceID]bool)}
-			k.progress[rollout.Pool] = t
+		p := k.progress[rollout.Pool]
+		if p == nil || p.revision != rollout.Revision {
+			p = &rolloutProgress{revision: rollout.Revision, began: k.Clock.Now(), drainedInstances: make(map[shelfshelf.InstanceID]bool)}
+			k.progress[rollout.Pool] = p
 		}
-		t.judge.Moving = rollout.State == shelfshelf.RolloutMoving
-		t.addReports(rollout, reports, unreachable)
-		k.evaluate(rollout, t)
+		p.judge.Moving = rollout.State == shelfshelf.RolloutMoving
+		p.addReports(rollout, reports, unreachable)
+		k.evaluate(rollout, p)
 		if leads {
-			k.advance(ctx, rollout, t)
+			k.advance(ctx, rollout, p)
 		}
 	}
 }
@@ -166,17 +166,17 @@
 	defer cancel()
 	addresses := k.Others(all)
 	k.polledCount = len(addresses)
-	answers := make(chan *Report, len(addresses))
-	slots := make(chan struct{}, maxConcurrentPolls)
+	results := make(chan *Report, len(addresses))
+	semaphore := make(chan struct{}, maxConcurrentPolls)
 	var wait sync.WaitGroup
 	for _, address := range addresses {
 		wait.Add(1)
-		slots <- struct{}{}
-		go k.pollInstance(ctx, address, answers, slots, &wait)
+		semaphore <- struct{}{}
+		go k.pollInstance(ctx, address, results, semaphore, &wait)
 	}
 	wait.Wait()
-	close(answers)
-	for report := range answers {
+	close(results)
+	for report := range results {
 		if report == nil {
 			unreachable++
 			continue
@@ -186,43 +186,43 @@
 	return reports, unreachable
 }
 
-func (k *Keeper) pollInstance(ctx context.Context, address string, answers chan<- *Report, slots <-chan struct{}, wait *sync.WaitGroup) {
+func (k *Keeper) pollInstance(ctx context.Context, address string, results chan<- *Report, semaphore <-chan struct{}, wait *sync.WaitGroup) {
 	defer wait.Done()
-	defer func() { <-slots }()
+	defer func() { <-semaphore }()
 	report, err := k.Ask(ctx, address)
 	if err != nil {
 		k.Log.Debug("Could not fetch an instance's counts.", "from", address, "error", err)
-		answers <- nil
+		results <- nil
 		return
 	}
-	answers <- &report
+	results <- &report
 }
 
 // addReports adds the reports of one round.
-func (t *rolloutProgress) addReports(rollout shelfshelf.Rollout, reports []Report, unreachable int) {
-	t.unreachable, t.sendingToOld, t.instanceCount = unreachable, 0, len(reports)+unreachable
-	t.oldRunning, t.newRunning = 0, 0
+func (p *rolloutProgress) addReports(rollout shelfshelf.Rollout, reports []Report, unreachable int) {
+	p.unreachable, p.sendingToOld, p.instanceCount = unreachable, 0, len(reports)+unreachable
+	p.oldRunning, p.newRunning = 0, 0
 	increments := make(map[CellName]*Cell)
 	for _, report := range reports {
 		evidence := report.evidenceFor(rollout)
-		t.drainedInstances[report.Life.Instance] = evidence != nil && evidence.Moved && evidence.OldRunning == 0
+		p.drainedInstances[report.Life.Instance] = evidence != nil && evidence.Moved && evidence.OldRunning == 0
 		if evidence == nil || !evidence.Moved {
-			t.sendingToOld++
+			p.sendingToOld++
 		}
 		if evidence == nil {
 			// The instance doesn't know of the rollout yet.
 			continue
 		}
-		t.oldRunning += evidence.OldRunning
-		t.newRunning += evidence.NewRunning
-		for name, cell := range t.merger.Take(report.Life, *evidence) {
+		p.oldRunning += evidence.OldRunning
+		p.newRunning += evidence.NewRunning
+		for name, cell := range p.merger.Take(report.Life, *evidence) {
 			if increments[name] == nil {
 				increments[name] = &Cell{}
 			}
 			increments[name].add(cell)
 		}
 	}
-	t.judge.Add(increments)
+	p.judge.Add(increments)
 }
 
 // evidenceFor returns the part of a report about a rollout; nil if there is none.
@@ -237,96 +237,96 @@
 
 // evaluate computes the verdict on a rollout. A version found bad is halted at once: the other
 // instances stop sending to it as soon as they learn of it, whether or not the rollback can be stored.
-func (k *Keeper) evaluate(rollout shelfshelf.Rollout, t *rolloutProgress) {
-	t.judge.Targets, t.judge.OldTargets = k.Record.Listed(rollout), k.Record.listedOthers(rollout)
-	t.verdict = t.judge.Verdict()
-	if !t.verdict.Bad || rollout.Halted {
-		k.extendDoubt(rollout, t)
+func (k *Keeper) evaluate(rollout shelfshelf.Rollout, p *rolloutProgress) {
+	p.judge.Targets, p.judge.OldTargets = k.Record.Listed(rollout), k.Record.listedOthers(rollout)
+	p.verdict = p.judge.Verdict()
+	if !p.verdict.Bad || rollout.Halted {
+		k.extendDoubt(rollout, p)
 		return
 	}
-	k.logProgress(rollout, t, "New version is bad; halting the rollout.")
+	k.logProgress(rollout, p, "New version is bad; halting the rollout.")
 	rollout.Halted = true
 	k.Record.Heard([]shelfshelf.Rollout{rollout}, 0, "own verdict")
 }
 
 // extendDoubt makes the instances send more trials to a version in doubt, so that the decision comes
 // soon.
-func (k *Keeper) extendDoubt(rollout shelfshelf.Rollout, t *rolloutProgress) {
-	if !t.verdict.Doubted() || rollout.State >= shelfshelf.RolloutMoving || rollout.Doubted-rollout.Age > doubtDuration/2 {
+func (k *Keeper) extendDoubt(rollout shelfshelf.Rollout, p *rolloutProgress) {
+	if !p.verdict.Doubted() || rollout.State >= shelfshelf.RolloutMoving || rollout.Doubted-rollout.Age > doubtDuration/2 {
 		return
 	}
-	k.logProgress(rollout, t, "New version is in doubt; sending more trials.")
+	k.logProgress(rollout, p, "New version is in doubt; sending more trials.")
 	rollout.Doubted = rollout.Age + doubtDuration
 	k.Record.Heard([]shelfshelf.Rollout{rollout}, 0, "own verdict")
 }
 
-func (k *Keeper) logProgress(rollout shelfshelf.Rollout, t *rolloutProgress, line string) {
-	sent := t.merger.Sum()
-	k.Log.Info(line, "pool", rollout.Pool, "version", rollout.Version, "revision", rollout.Revision, "state", rollout.State, "age", rollout.Age,
-		"period", rollout.Period, "by", t.verdict.Why, "against", t.verdict.Against, "limit", t.verdict.Limit, "trials", t.verdict.Trials,
-		"trialsFailed", t.verdict.Failed, "slower", t.verdict.Slower, "others", t.verdict.Old, "othersFailed", t.verdict.OldFailed, "sent", sent.All, "sentNew", sent.New)
+func (k *Keeper) logProgress(rollout shelfshelf.Rollout, p *rolloutProgress, message string) {
+	sent := p.merger.Sum()
+	k.Log.Info(message, "pool", rollout.Pool, "version", rollout.Version, "revision", rollout.Revision, "state", rollout.State, "age", rollout.Age,
+		"period", rollout.Period, "by", p.verdict.Why, "against", p.verdict.Against, "limit", p.verdict.Limit, "trials", p.verdict.Trials,
+		"trialsFailed", p.verdict.Failed, "slower", p.verdict.Slower, "others", p.verdict.Old, "othersFailed", p.verdict.OldFailed, "sent", sent.All, "sentNew", sent.New)
 }
 
 // advance takes the next step of a rollout.
-func (k *Keeper) advance(ctx context.Context, rollout shelfshelf.Rollout, t *rolloutProgress) {
+func (k *Keeper) advance(ctx context.Context, rollout shelfshelf.Rollout, p *rolloutProgress) {
 	now := k.Clock.Now()
 	switch {
-	case rollout.Halted || t.verdict.Bad:
-		k.saveState(ctx, rollout, t, shelfshelf.RolloutRolledBack)
+	case rollout.Halted || p.verdict.Bad:
+		k.saveState(ctx, rollout, p, shelfshelf.RolloutRolledBack)
 	case k.Record.Serves(rollout):
-		k.saveState(ctx, rollout, t, shelfshelf.RolloutCompleted)
+		k.saveState(ctx, rollout, p, shelfshelf.RolloutCompleted)
 	case rollout.State == shelfshelf.RolloutOrdered:
-		k.saveState(ctx, rollout, t, shelfshelf.RolloutServing)
-	case rollout.State == shelfshelf.RolloutServing && k.mayStartMove(rollout, t):
-		k.logProgress(rollout, t, "New version is good; starting the move.")
+		k.saveState(ctx, rollout, p, shelfshelf.RolloutServing)
+	case rollout.State == shelfshelf.RolloutServing && k.mayStartMove(rollout, p):
+		k.logProgress(rollout, p, "New version is good; starting the move.")
 		rollout.State = shelfshelf.RolloutMoving
 		k.Record.Heard([]shelfshelf.Rollout{rollout}, 0, "own verdict")
-	case rollout.State == shelfshelf.RolloutMoving && t.drained(now) && t.proven(now):
-		k.saveState(ctx, rollout, t, shelfshelf.RolloutCompleted)
+	case rollout.State == shelfshelf.RolloutMoving && p.drained(now) && p.proven(now):
+		k.saveState(ctx, rollout, p, shelfshelf.RolloutCompleted)
 	}
 }
 
 // mayStartMove reports whether the new version may take over: near the deadline or after it.
-func (k *Keeper) mayStartMove(rollout shelfshelf.Rollout, t *rolloutProgress) bool {
+func (k *Keeper) mayStartMove(rollout shelfshelf.Rollout, p *rolloutProgress) bool {
 	left := rollout.Period - rollout.Age
-	sent := t.merger.Sum()
-	if left > k.Record.Bounds.moveTime(rollout, sent, k.Clock.Now().Sub(t.began)) || k.Record.Listed(rollout) == 0 {
+	sent := p.merger.Sum()
+	if left > k.Record.Bounds.moveTime(rollout, sent, k.Clock.Now().Sub(p.began)) || k.Record.Listed(rollout) == 0 {
 		return false
 	}
 	// A pool with fewer requests than the slack in its whole period can't provide evidence.
-	idle := left <= 0 && float64(sent.All) < slackFraction*k.Record.Bounds.Slack && !t.verdict.Bad
-	return t.verdict.Good && !t.trialsOverdue(k.Record.Bounds.trialShare()) || idle
+	idle := left <= 0 && float64(sent.All) < slackFraction*k.Record.Bounds.Slack && !p.verdict.Bad
+	return p.verdict.Good && !p.trialsOverdue(k.Record.Bounds.trialShare()) || idle
 }
 
 // trialsOverdue reports that more trials are in flight than there would be for a version as fast as the
 // old one: very late answers aren't counted yet.
-func (t *rolloutProgress) trialsOverdue(share float64) bool {
-	expected := share / (1 - share) * float64(t.oldRunning)
-	return float64(t.newRunning) > overdueTrialFactor*expected+overdueTrialSlack
+func (p *rolloutProgress) trialsOverdue(share float64) bool {
+	expected := share / (1 - share) * float64(p.oldRunning)
+	return float64(p.newRunning) > overdueTrialFactor*expected+overdueTrialSlack
 }
 
 // drained reports that no requests are lost if the old targets stop.
-func (t *rolloutProgress) drained(now time.Time) bool {
-	if t.sendingToOld > 0 {
-		t.movedAt = time.Time{}
+func (p *rolloutProgress) drained(now time.Time) bool {
+	if p.sendingToOld > 0 {
+		p.movedAt = time.Time{}
 		return false
 	}
-	if t.movedAt.IsZero() {
-		t.movedAt, t.answersAtMove = now, t.verdict.Trials
+	if p.movedAt.IsZero() {
+		p.movedAt, p.answersAtMove = now, p.verdict.Trials
 	}
-	free, busy := 0, 0
-	for _, instanceDrained := range t.drainedInstances {
+	drainedCount, undrainedCount := 0, 0
+	for _, instanceDrained := range p.drainedInstances {
 		if instanceDrained {
-			free++
+			drainedCount++
 		} else {
-			busy++
+			undrainedCount++
 		}
 	}
-	waited := now.Sub(t.movedAt)
+	waited := now.Sub(p.movedAt)
 	switch {
-	case busy > 0:
+	case undrainedCount > 0:
 		return waited >= maxDrainWait
-	case t.unreachable > 0 && free < t.instanceCount:
+	case p.unreachable > 0 && drainedCount < p.instanceCount:
 		return waited >= unreachableDrainWait
 	}
 	return true
@@ -334,24 +334,24 @@
 
 // proven reports that the new version has answered properly under the full load. A fault that only
 // shows there would reach all callers once the old targets have stopped.
-func (t *rolloutProgress) proven(now time.Time) bool {
-	waited := now.Sub(t.movedAt)
-	if t.verdict.Doubted() {
+func (p *rolloutProgress) proven(now time.Time) bool {
+	waited := now.Sub(p.movedAt)
+	if p.verdict.Doubted() {
 		return waited >= maxDrainWait
 	}
-	return t.verdict.Trials-t.answersAtMove >= minFullLoadAnswers || waited >= maxProofWait
+	return p.verdict.Trials-p.answersAtMove >= minFullLoadAnswers || waited >= maxProofWait
 }
 
 // saveState stores the new state of a rollout. If the store already has a final state, that one
 // applies.
-func (k *Keeper) saveState(ctx context.Context, rollout shelfshelf.Rollout, t *rolloutProgress, state shelfshelf.RolloutState) {
+func (k *Keeper) saveState(ctx context.Context, rollout shelfshelf.Rollout, p *rolloutProgress, state shelfshelf.RolloutState) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	rollout.State = state
 	stored, err := k.Store.SaveRollout(ctx, rollout)
 	if err == nil {
 		rollout.Stored = stored
-		k.logProgress(rollout, t, "Stored a new rollout state.")
+		k.logProgress(rollout, p, "Stored a new rollout state.")
 		k.Record.Heard([]shelfshelf.Rollout{rollout}, 0, "own write")
 		return
 	}
--- a/rollout/outcome_test.go
+++ b/rollout/outcome_test.go
@@ -117,7 +117,7 @@
 }
 
 // Difficult seeds of small pools, found during development; see KNOWN-RED.txt. With 18 targets and
-// 1,400 requests in the period there are 70 trials. A version that is three times slower is given up
+// 1,400 requests in the period there are 70 trials. A version that is three times slower is rolled back
 // only after its fiftieth bad answer and the time allowed for the rollback, one that fails 0.3 of its
 // requests may be undecided 8 s after the deadline, and if 15% of the targets of both versions fail on
 // their own, the new version may have five times the failures of the old one.
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -24,7 +24,7 @@
 	// move, which has to start before the deadline for the rollout to end by then.
 	trialFraction = 0.4
 	// exposureFraction and slackFraction are the fractions of share and slack that plans may use. The
-	// rest covers requests that are sent while news of the move or the halt spreads.
+	// rest covers requests that are sent before all instances know of the move or the halt.
 	exposureFraction = 0.9
 	slackFraction    = 0.6
 	// trialSlackFraction is the fraction of the slack that is spent on trials. With few instances and
@@ -42,11 +42,11 @@
 	// rotationInterval is how often trials switch to other targets of the new version, so that a slow
 	// or crashing machine isn't mistaken for a bad version.
 	rotationInterval = time.Second
-	// firstRotationInterval is the same until all targets have been tried once: a few answers from each
-	// of many targets tell more about the version than many answers from a few.
+	// firstRotationInterval replaces rotationInterval until all targets have been tried once: a few
+	// answers from each of many targets tell more about the version than many answers from a few.
 	firstRotationInterval = 300 * time.Millisecond
-	// burstOvercommit multiplies the probability with which a request becomes a trial during a burst:
-	// instances that have used up their share of trials skip the burst.
+	// burstOvercommit multiplies the probability with which a request becomes a trial during a burst of
+	// trials, because instances that have used up their share of trials skip the burst.
 	burstOvercommit = 2
 	// maxMoveTime limits how long before the deadline the move starts: streams last up to 15 s, and a
 	// version may turn bad late.
@@ -71,7 +71,8 @@
 	return time.Duration(earlyPace*float64(early)+latePace*float64(late)) + past
 }
 
-// shareSince returns the fraction of the requests since an age that should have tried the new version.
+// shareSince returns the fraction of the requests that should have tried the new version since the
+// rollout had the given age.
 func (b Bounds) shareSince(rollout shelfshelf.Rollout, age time.Duration) float64 {
 	if rollout.Age <= age {
 		return b.plannedShare(rollout)
@@ -117,22 +118,23 @@
 	targetLoad := trialLoadFactor * (1 - share) / float64(max(old, 1))
 	count := min(max(int(math.Round(share/targetLoad)), 1), len(newTargets))
 	duty := min(share/float64(count)/targetLoad, 1)
-	turn, on := rotationAt(rollout.Age, (len(newTargets)+count-1)/count)
-	if !on(duty) {
+	rotation, inBurst := rotationAt(rollout.Age, (len(newTargets)+count-1)/count)
+	if !inBurst(duty) {
 		return nil, 0
 	}
 	ordered := slices.Clone(newTargets)
 	slices.SortFunc(ordered, func(x, y shelfshelf.Target) int { return cmp.Compare(targetRank(x, rollout), targetRank(y, rollout)) })
 	canaries = make(map[shelfshelf.TargetName]bool, count)
 	for i := range count {
-		canaries[ordered[(turn*count+i)%len(ordered)].Name] = true
+		canaries[ordered[(rotation*count+i)%len(ordered)].Name] = true
 	}
 	return canaries, min(burstOvercommit*share/duty, 1)
 }
 
-// rotationAt returns the number of the current rotation, where a round over all targets takes the given
-// number of rotations, and a function that reports whether the burst of that rotation is running.
-func rotationAt(age time.Duration, round int) (turn int, on func(duty float64) bool) {
+// rotationAt returns the number of the current rotation and a function that reports whether its burst is
+// running, given the fraction of the rotation that the burst lasts (duty). One round over all targets
+// takes the given number of rotations; those of the first round are shorter.
+func rotationAt(age time.Duration, round int) (rotation int, inBurst func(duty float64) bool) {
 	length, first := firstRotationInterval, 0
 	if late := age - time.Duration(round)*firstRotationInterval; late >= 0 {
 		age, length, first = late, rotationInterval, round
--- a/rollout/record.go
+++ b/rollout/record.go
@@ -22,8 +22,8 @@
 	// Random returns uniform numbers in [0, 1); nil means the default source.
 	Random func() float64
 	// Running returns how many requests this instance has running at targets of the pool with other
-	// versions, and with this one; nil means none.
-	Running func(pool shelfshelf.PoolName, version shelfshelf.TargetVersion) (others, at int)
+	// versions (others) and with the given one (matching); nil means none.
+	Running func(pool shelfshelf.PoolName, version shelfshelf.TargetVersion) (others, matching int)
 	// Instances returns the number of instances, this one included; nil means unknown.
 	Instances func() int
 	// Changed is called without locks held after a rollout has changed; may be nil.
@@ -31,7 +31,7 @@
 
 	mu       sync.Mutex
 	rollouts map[shelfshelf.PoolName]*trackedRollout
-	// asOf is the version of the store up to which all rollouts are known.
+	// asOf is the position of the store up to which all rollouts are known.
 	asOf uint64
 	// firstSeen holds for each version of a pool's targets when it was first listed: a new version gets
 	// no requests before it is known whether a rollout to it was ordered.
@@ -67,11 +67,11 @@
 }
 
 // current returns the rollout with its durations as of now.
-func (o *trackedRollout) current(now time.Time) shelfshelf.Rollout {
-	rollout := o.rollout
-	rollout.Age += now.Sub(o.updatedAt)
+func (tracked *trackedRollout) current(now time.Time) shelfshelf.Rollout {
+	rollout := tracked.rollout
+	rollout.Age += now.Sub(tracked.updatedAt)
 	if rollout.State == shelfshelf.RolloutMoving {
-		rollout.Moving += now.Sub(o.updatedAt)
+		rollout.Moving += now.Sub(tracked.updatedAt)
 	}
 	return rollout
 }
@@ -83,6 +83,7 @@
 	return r.changeSignal()
 }
 
+// changeSignal returns the channel of Changes and creates it if needed. The caller must hold r.mu.
 func (r *Record) changeSignal() chan struct{} {
 	if r.changes == nil {
 		r.changes = make(chan struct{}, 1)
@@ -91,7 +92,7 @@
 }
 
 // Heard merges rollouts read from the store or received from another instance. They include every
-// rollout that had been ordered by version asOf of the store.
+// rollout that had been ordered as of position asOf of the store.
 func (r *Record) Heard(received []shelfshelf.Rollout, asOf uint64, from string) {
 	r.mu.Lock()
 	r.asOf = max(r.asOf, asOf)
@@ -113,8 +114,8 @@
 	}
 }
 
-// apply merges an update if it adds to what is known, and reports whether anything changed; the lock is
-// held.
+// apply merges an update if it adds to what is known, and reports whether anything changed. The caller
+// must hold r.mu.
 func (r *Record) apply(rollout shelfshelf.Rollout, from string) bool {
 	if r.rollouts == nil {
 		r.rollouts = make(map[shelfshelf.PoolName]*trackedRollout)
@@ -147,7 +148,8 @@
 	return true
 }
 
-// barredVersions returns the versions that are barred once a rollout replaces another.
+// barredVersions returns the versions that get no requests once a rollout replaces another: those
+// barred before, and the version of the replaced rollout unless that was completed.
 func barredVersions(before, rollout shelfshelf.Rollout) []shelfshelf.TargetVersion {
 	all := append(slices.Clone(before.Barred), rollout.Barred...)
 	if before.State != shelfshelf.RolloutCompleted {
@@ -176,13 +178,14 @@
 	return rollout
 }
 
-// Told returns the rollouts that this instance passes on to others.
+// Told returns the snapshot that this instance sends to others: its rollouts, and the position of the
+// store up to which all are known.
 func (r *Record) Told() (rollouts []shelfshelf.Rollout, asOf uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.Clock.Now()
-	for _, o := range r.rollouts {
-		rollouts = append(rollouts, o.current(now))
+	for _, tracked := range r.rollouts {
+		rollouts = append(rollouts, tracked.current(now))
 	}
 	return rollouts, r.asOf
 }
@@ -191,9 +194,9 @@
 func (r *Record) Under() []shelfshelf.Rollout {
 	rollouts, _ := r.Told()
 	var active []shelfshelf.Rollout
-	for _, o := range rollouts {
-		if !o.State.Over() {
-			active = append(active, o)
+	for _, rollout := range rollouts {
+		if !rollout.State.Over() {
+			active = append(active, rollout)
 		}
 	}
 	return active
@@ -205,27 +208,27 @@
 	if r.Running != nil {
 		running = make(map[shelfshelf.PoolName][2]int)
 		for _, rollout := range r.Under() {
-			others, at := r.Running(rollout.Pool, rollout.Version)
-			running[rollout.Pool] = [2]int{others, at}
+			others, matching := r.Running(rollout.Pool, rollout.Version)
+			running[rollout.Pool] = [2]int{others, matching}
 		}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.Clock.Now()
 	var all []Evidence
-	for _, o := range r.rollouts {
-		if o.rollout.State.Over() {
+	for _, tracked := range r.rollouts {
+		if tracked.rollout.State.Over() {
 			continue
 		}
-		counted := o.evidence
-		rollout := o.current(now)
+		counted := tracked.evidence
+		rollout := tracked.current(now)
 		counted.OldRunning, counted.NewRunning = running[rollout.Pool][0], running[rollout.Pool][1]
 		counted.Moved = rollout.State == shelfshelf.RolloutMoving && moveShare(rollout, r.Bounds.estimatedMoveTime(rollout)) >= 1
-		counted.Sent = Sent{All: uint64(max(o.sent, 0)), New: uint64(max(o.trials, 0))}
-		counted.Cells = make(map[CellName]*Cell, len(o.evidence.Cells))
-		for name, cell := range o.evidence.Cells {
-			kept := *cell
-			counted.Cells[name] = &kept
+		counted.Sent = Sent{All: uint64(max(tracked.sent, 0)), New: uint64(max(tracked.trials, 0))}
+		counted.Cells = make(map[CellName]*Cell, len(tracked.evidence.Cells))
+		for name, cell := range tracked.evidence.Cells {
+			copied := *cell
+			counted.Cells[name] = &copied
 		}
 		all = append(all, counted)
 	}
@@ -241,14 +244,14 @@
 func (r *Record) countSent(target shelfshelf.Target, by int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	o := r.rollouts[target.Pool]
-	if o == nil || o.rollout.State.Over() {
+	tracked := r.rollouts[target.Pool]
+	if tracked == nil || tracked.rollout.State.Over() {
 		return
 	}
-	o.sent += by
-	o.extra += float64(by) * r.Bounds.extraShare(o.current(r.Clock.Now()))
-	if target.Version == o.rollout.Version {
-		o.trials += by
+	tracked.sent += by
+	tracked.extra += float64(by) * r.Bounds.extraShare(tracked.current(r.Clock.Now()))
+	if target.Version == tracked.rollout.Version {
+		tracked.trials += by
 	}
 }
 
@@ -259,20 +262,20 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	o := r.rollouts[target.Pool]
-	if o == nil || o.rollout.State.Over() {
+	tracked := r.rollouts[target.Pool]
+	if tracked == nil || tracked.rollout.State.Over() {
 		return
 	}
 	name := CellName{Route: report.Route}
-	if target.Version == o.rollout.Version {
+	if target.Version == tracked.rollout.Version {
 		name.Target = target.Name
-		if o.rollout.State == shelfshelf.RolloutMoving {
+		if tracked.rollout.State == shelfshelf.RolloutMoving {
 			// All targets of the version are in use by now. With one cell per target and route a report
 			// would have 20 KB, and it is fetched eight times a second.
 			name.Target = targetGroup(target.Name)
 		}
 	}
-	o.evidence.observe(name, report)
+	tracked.evidence.observe(name, report)
 }
 
 // targetGroupCount is the number of groups that targets are counted in while all are in use.
@@ -283,23 +286,24 @@
 	return shelfshelf.TargetName(fmt.Sprintf("(group %d)", xxhash.Sum64String(string(name))%targetGroupCount))
 }
 
-// Retire notes the old targets of completed rollouts, which stop at once.
+// Retire marks the old targets of rollouts that were completed while this instance was running. They
+// get no more requests, because they stop at once.
 func (r *Record) Retire(targets []shelfshelf.Target) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for pool, o := range r.rollouts {
-		if o.completedHere && o.retired == nil {
-			o.retire(pool, targets)
+	for pool, tracked := range r.rollouts {
+		if tracked.completedHere && tracked.retired == nil {
+			tracked.retire(pool, targets)
 		}
 	}
 }
 
-func (o *trackedRollout) retire(pool shelfshelf.PoolName, targets []shelfshelf.Target) {
+func (tracked *trackedRollout) retire(pool shelfshelf.PoolName, targets []shelfshelf.Target) {
 	retired := make(map[shelfshelf.TargetName]bool)
 	for _, target := range targets {
-		if target.Pool == pool && target.Version != o.rollout.Version {
+		if target.Pool == pool && target.Version != tracked.rollout.Version {
 			retired[target.Name] = true
 		}
 	}
-	o.retired = retired
+	tracked.retired = retired
 }
--- a/rollout/record_test.go
+++ b/rollout/record_test.go
@@ -121,12 +121,12 @@
 					choice := record.Choose("p", targets)
 					for _, target := range targets {
 						if barred && known[0].State != shelfshelf.RolloutCompleted && target.Version == known[0].Version && choice.Allows(target) {
-							t.Fatalf("%+v lets %s go to %s", known[0], target.Name, target.Version)
+							t.Fatalf("%+v allows target %s of version %s", known[0], target.Name, target.Version)
 						}
 						if target.Version != known[0].Version && choice.Allows(target) {
 							for _, version := range known[0].Barred {
 								if version == target.Version {
-									t.Fatalf("%+v lets a request go to a barred version", known[0])
+									t.Fatalf("%+v allows a barred version", known[0])
 								}
 							}
 						}
@@ -151,7 +151,7 @@
 // Special cases of rollouts: which targets get requests.
 func TestUnusualRollouts(t *testing.T) {
 	t.Parallel()
-	order := shelfshelf.Rollout{Pool: "p", Revision: 10, Version: "v2", Period: 12 * time.Second}
+	ordered := shelfshelf.Rollout{Pool: "p", Revision: 10, Version: "v2", Period: 12 * time.Second}
 	for name, c := range map[string]struct {
 		before, after map[shelfshelf.TargetVersion]int
 		asOf          uint64
@@ -161,37 +161,37 @@
 		// later is the time from the listing of the targets to the check.
 		later time.Duration
 	}{
-		"a new version of which it isn't known yet whether it was ordered gets nothing": {
+		"a new version gets no requests while it isn't known whether it was ordered": {
 			before: map[shelfshelf.TargetVersion]int{"v1": 4}, after: map[shelfshelf.TargetVersion]int{"v1": 4, "v2": 4}, asOf: 5,
 			allowed: []shelfshelf.TargetVersion{"v1"},
 		},
-		"but not for longer than orders may be unreadable": {
+		"but it gets them once the store has been unreadable for too long": {
 			before: map[shelfshelf.TargetVersion]int{"v1": 4}, after: map[shelfshelf.TargetVersion]int{"v1": 4, "v2": 4}, asOf: 5,
 			later: maxUnconfirmedHold, allowed: []shelfshelf.TargetVersion{"v1", "v2"},
 		},
-		"one that wasn't ordered is served as any other": {
+		"a new version that wasn't ordered gets requests like any other": {
 			before: map[shelfshelf.TargetVersion]int{"v1": 4}, after: map[shelfshelf.TargetVersion]int{"v1": 4, "v2": 4}, asOf: 20,
 			allowed: []shelfshelf.TargetVersion{"v1", "v2"},
 		},
-		"an order of the version that serves already takes nothing away": {
+		"a rollout to the version that already serves changes nothing": {
 			before: map[shelfshelf.TargetVersion]int{"v2": 4}, after: map[shelfshelf.TargetVersion]int{"v2": 4}, asOf: 20,
-			updates: []shelfshelf.Rollout{order}, allowed: []shelfshelf.TargetVersion{"v2"},
+			updates: []shelfshelf.Rollout{ordered}, allowed: []shelfshelf.TargetVersion{"v2"},
 		},
-		"an order without targets of its version changes nothing": {
+		"a rollout without targets of its version changes nothing": {
 			before: map[shelfshelf.TargetVersion]int{"v1": 4}, after: map[shelfshelf.TargetVersion]int{"v1": 4}, asOf: 20,
-			updates: []shelfshelf.Rollout{order}, allowed: []shelfshelf.TargetVersion{"v1"},
+			updates: []shelfshelf.Rollout{ordered}, allowed: []shelfshelf.TargetVersion{"v1"},
 		},
-		"a second order bars the version of the first": {
+		"a second rollout bars the version of the first": {
 			before: map[shelfshelf.TargetVersion]int{"v1": 4}, after: map[shelfshelf.TargetVersion]int{"v1": 4, "v2": 4}, asOf: 20,
-			updates: []shelfshelf.Rollout{order, {Pool: "p", Revision: 12, Version: "v3", Period: time.Second}},
+			updates: []shelfshelf.Rollout{ordered, {Pool: "p", Revision: 12, Version: "v3", Period: time.Second}},
 			allowed: []shelfshelf.TargetVersion{"v1"},
 		},
-		"a version that was rolled back gets nothing, also after a restart": {
+		"a version that was rolled back gets no requests, also after a restart": {
 			before: map[shelfshelf.TargetVersion]int{"v1": 4, "v2": 4}, after: map[shelfshelf.TargetVersion]int{"v1": 4, "v2": 4}, asOf: 20,
 			updates: []shelfshelf.Rollout{{Pool: "p", Revision: 10, Version: "v2", State: shelfshelf.RolloutRolledBack}},
 			allowed: []shelfshelf.TargetVersion{"v1"},
 		},
-		"back to the version that serves, while the one that was rolled back is still there": {
+		"a rollout to the serving version while targets of the rolled-back one remain": {
 			before: map[shelfshelf.TargetVersion]int{"v1": 4}, after: map[shelfshelf.TargetVersion]int{"v1": 4, "v2": 4}, asOf: 20,
 			updates: []shelfshelf.Rollout{
 				{Pool: "p", Revision: 10, Version: "v2", State: shelfshelf.RolloutRolledBack},
@@ -199,17 +199,17 @@
 			},
 			allowed: []shelfshelf.TargetVersion{"v1"},
 		},
-		"a third version, after a completed order, of which it isn't known yet whether it was ordered": {
+		"after a completed rollout, a third version while it isn't known whether it was ordered": {
 			before: map[shelfshelf.TargetVersion]int{"v1": 4, "v2": 4}, after: map[shelfshelf.TargetVersion]int{"v2": 4, "v3": 4}, asOf: 5,
 			updates: []shelfshelf.Rollout{{Pool: "p", Revision: 3, Version: "v2", State: shelfshelf.RolloutCompleted}},
 			allowed: []shelfshelf.TargetVersion{"v2"},
 		},
-		"a halted one gets nothing before that is written down": {
+		"a halted version gets no requests before the rollback is stored": {
 			before: map[shelfshelf.TargetVersion]int{"v1": 4}, after: map[shelfshelf.TargetVersion]int{"v1": 4, "v2": 4}, asOf: 20,
 			updates: []shelfshelf.Rollout{{Pool: "p", Revision: 10, Version: "v2", State: shelfshelf.RolloutMoving, Moving: time.Minute, Halted: true}},
 			allowed: []shelfshelf.TargetVersion{"v1"},
 		},
-		"so does one that was halted by who hadn't heard that it took over": {
+		"nor does one halted by an instance that didn't know of the move": {
 			before: map[shelfshelf.TargetVersion]int{"v1": 4}, after: map[shelfshelf.TargetVersion]int{"v1": 4, "v2": 4}, asOf: 20,
 			updates: []shelfshelf.Rollout{
 				{Pool: "p", Revision: 10, Version: "v2", State: shelfshelf.RolloutMoving, Moving: time.Minute},
@@ -217,7 +217,7 @@
 			},
 			allowed: []shelfshelf.TargetVersion{"v1"},
 		},
-		"after the move all go to the new one": {
+		"after the move all requests go to the new version": {
 			before: map[shelfshelf.TargetVersion]int{"v1": 4}, after: map[shelfshelf.TargetVersion]int{"v1": 4, "v2": 4}, asOf: 20,
 			updates: []shelfshelf.Rollout{{Pool: "p", Revision: 10, Version: "v2", Period: time.Second, State: shelfshelf.RolloutMoving, Moving: time.Minute}},
 			allowed: []shelfshelf.TargetVersion{"v2"},
--- a/rollout/restore.go
+++ b/rollout/restore.go
@@ -13,38 +13,39 @@
 // is a few seconds old, and an operator orders one or two rollouts in that time.
 const maxReplacedKept = 8
 
-// adoptRestored handles a rollout from a later era of the store, which begins when the store is
-// restored from an older copy. If it is the known rollout, ordered again or found in the copy at
-// another position, the known state continues under the new revision, and changed is true. If the known
-// rollout had replaced it and the copy still contains it, stale is true. The lock is held.
-func (o *trackedRollout) adoptRestored(rollout shelfshelf.Rollout) (changed, stale bool) {
-	if shelfshelf.EraOf(rollout.Revision) <= shelfshelf.EraOf(o.rollout.Revision) {
+// adoptRestored handles a received rollout from a later epoch of the store, which begins when the store
+// is restored from an older copy. If it is the tracked rollout, ordered again or found in the copy at
+// another position, the tracked state continues under the new revision, and changed is true. If it is
+// one that the tracked rollout had replaced and that the copy still contains, stale is true. The caller
+// must hold the mu of the Record.
+func (tracked *trackedRollout) adoptRestored(rollout shelfshelf.Rollout) (changed, stale bool) {
+	if shelfshelf.EraOf(rollout.Revision) <= shelfshelf.EraOf(tracked.rollout.Revision) {
 		return false, false
 	}
-	if slices.ContainsFunc(o.replaced, func(replaced shelfshelf.Rollout) bool { return sameRow(replaced, rollout) }) {
+	if slices.ContainsFunc(tracked.replaced, func(replaced shelfshelf.Rollout) bool { return sameRow(replaced, rollout) }) {
 		return false, true
 	}
-	if o.rollout.Version != rollout.Version || o.rollout.Period != rollout.Period {
+	if tracked.rollout.Version != rollout.Version || tracked.rollout.Period != rollout.Period {
 		return false, false
 	}
-	o.rollout.Revision = rollout.Revision
-	o.evidence.Revision = rollout.Revision
+	tracked.rollout.Revision = rollout.Revision
+	tracked.evidence.Revision = rollout.Revision
 	// The state that was stored for the previous revision is lost.
-	o.rollout.Stored = 0
-	o.unsaved = o.rollout.State != shelfshelf.RolloutOrdered
+	tracked.rollout.Stored = 0
+	tracked.unsaved = tracked.rollout.State != shelfshelf.RolloutOrdered
 	return true, false
 }
 
 // Unsaved returns the rollouts whose state has to be stored again, because the store was restored from
-// a copy without it.
+// an older copy without it.
 func (r *Record) Unsaved() []shelfshelf.Rollout {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.Clock.Now()
 	var unsaved []shelfshelf.Rollout
-	for _, o := range r.rollouts {
-		if o.unsaved {
-			unsaved = append(unsaved, o.current(now))
+	for _, tracked := range r.rollouts {
+		if tracked.unsaved {
+			unsaved = append(unsaved, tracked.current(now))
 		}
 	}
 	return unsaved
@@ -54,8 +55,8 @@
 func (r *Record) markSaved(rollout shelfshelf.Rollout) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if o := r.rollouts[rollout.Pool]; o != nil && o.rollout.Revision == rollout.Revision {
-		o.unsaved = false
+	if tracked := r.rollouts[rollout.Pool]; tracked != nil && tracked.rollout.Revision == rollout.Revision {
+		tracked.unsaved = false
 	}
 }
 
@@ -88,7 +89,7 @@
 	}
 }
 
-// sameRow reports whether two rollouts come from the same row of the store, whatever its era.
+// sameRow reports whether two rollouts come from the same row of the store, whatever their epochs.
 func sameRow(a, b shelfshelf.Rollout) bool {
 	return shelfshelf.VersionOf(a.Revision) == shelfshelf.VersionOf(b.Revision) && a.Version == b.Version && a.Period == b.Period
 }
--- a/rollout/restore_test.go
+++ b/rollout/restore_test.go
@@ -7,10 +7,10 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-// rolloutAt returns a rollout as stored at an era and a version.
-func rolloutAt(era, version uint64, to shelfshelf.TargetVersion, state shelfshelf.RolloutState) shelfshelf.Rollout {
+// rolloutAt returns a rollout as stored at an epoch and a store version.
+func rolloutAt(epoch, version uint64, to shelfshelf.TargetVersion, state shelfshelf.RolloutState) shelfshelf.Rollout {
 	return shelfshelf.Rollout{
-		Pool: "p", Version: to, Period: 20 * time.Second, Revision: shelfshelf.PositionOf(era, version), State: state,
+		Pool: "p", Version: to, Period: 20 * time.Second, Revision: shelfshelf.PositionOf(epoch, version), State: state,
 	}
 }
 
@@ -20,8 +20,8 @@
 	return known[0]
 }
 
-// A store that is restored from an older copy may contain a rollout's row under another version, or the
-// row of an earlier rollout. If these were taken for new rollouts, the first would try a rolled-back
+// A store that is restored from an older copy may contain a rollout's row at another store version, or
+// the row of an earlier rollout. If these were taken for new rollouts, the first would try a rolled-back
 // version again, and the second would undo a completed rollout.
 func TestRolloutsSurviveStoreRestore(t *testing.T) {
 	for name, c := range map[string]struct {
@@ -29,27 +29,27 @@
 		rollout shelfshelf.Rollout
 		want    shelfshelf.Rollout
 	}{
-		"written again": {
+		"ordered again": {
 			[]shelfshelf.Rollout{rolloutAt(1, 50, "v2", shelfshelf.RolloutRolledBack)},
 			rolloutAt(2, 28, "v2", shelfshelf.RolloutOrdered),
 			rolloutAt(2, 28, "v2", shelfshelf.RolloutRolledBack),
 		},
-		"as it was in the copy": {
+		"same row in the restored copy": {
 			[]shelfshelf.Rollout{rolloutAt(1, 50, "v2", shelfshelf.RolloutCompleted)},
 			rolloutAt(2, 50, "v2", shelfshelf.RolloutServing),
 			rolloutAt(2, 50, "v2", shelfshelf.RolloutCompleted),
 		},
-		"an order before it, in the copy": {
+		"replaced rollout in the restored copy": {
 			[]shelfshelf.Rollout{rolloutAt(1, 30, "v1", shelfshelf.RolloutCompleted), rolloutAt(1, 50, "v2", shelfshelf.RolloutCompleted)},
 			rolloutAt(2, 30, "v1", shelfshelf.RolloutServing),
 			rolloutAt(1, 50, "v2", shelfshelf.RolloutCompleted),
 		},
-		"a new order after it": {
+		"a new rollout after the restore": {
 			[]shelfshelf.Rollout{rolloutAt(1, 50, "v2", shelfshelf.RolloutCompleted)},
 			rolloutAt(2, 28, "v3", shelfshelf.RolloutOrdered),
 			rolloutAt(2, 28, "v3", shelfshelf.RolloutOrdered),
 		},
-		"the same order once more, in the same era": {
+		"the same version ordered again in the same epoch": {
 			[]shelfshelf.Rollout{rolloutAt(1, 50, "v2", shelfshelf.RolloutRolledBack)},
 			rolloutAt(1, 60, "v2", shelfshelf.RolloutOrdered),
 			rolloutAt(1, 60, "v2", shelfshelf.RolloutOrdered),
--- a/rollout/sim_test.go
+++ b/rollout/sim_test.go
@@ -46,8 +46,8 @@
 	loaded int
 	// oneRoute restricts the fault to one route.
 	oneRoute bool
-	// burst, grey and lost affect both versions: a burst of requests, targets that fail often, an
-	// unavailable data centre.
+	// burst, grey and lost affect both versions: a burst of requests, some targets that often fail (grey
+	// failures), an unavailable data centre.
 	burst, grey, lost bool
 }
 
--- a/rollout/tally.go
+++ b/rollout/tally.go
@@ -39,17 +39,17 @@
 
 // add adds the answers of one round. Times are left out during the move, because they change with the
 // load then.
-func (t *tally) add(s *interval, baseline *Cell) {
+func (t *tally) add(round *interval, baseline *Cell) {
 	for i, c := range criteria {
-		if s.moving && c.histogram != nil {
+		if round.moving && c.histogram != nil {
 			continue
 		}
-		bad, all, known := c.count(&s.old, baseline)
+		bad, all, known := c.count(&round.old, baseline)
 		if !known {
 			continue
 		}
 		t.old[i].add(bad, all)
-		for name, cell := range s.newTargets {
+		for name, cell := range round.newTargets {
 			if t.newTargets[name] == nil {
 				t.newTargets[name] = make([]answerCounts, len(criteria))
 			}
