--- a/gateway/request.go
+++ b/gateway/request.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// queueTimeShare is the fraction of the latency goal that a request may wait for a target. After
-	// that it is refused early enough for the caller to retry in time.
+	// queueTimeShare is the fraction of the latency goal that a request may wait in the queue for a slot.
+	// After that it is refused early enough for the caller to retry in time.
 	queueTimeShare = 0.22
 	// defaultLatencyGoal applies to routes without a goal.
 	defaultLatencyGoal = time.Second
@@ -30,7 +30,7 @@
 	maxUnsentAttempts = 8
 	// maxRejections is the number of rejections (responses saying that the target did not run the
 	// request) at which the request fails. Limits are known with a delay, so a target that is full by
-	// now may have been chosen while others have room. Each such retry counts against the retry
+	// now may have been chosen while others have free slots. Each such retry counts against the retry
 	// budget.
 	maxRejections = 3
 	// maxLeaseTries is the maximum number of leases acquired for one attempt. Another one is needed if
@@ -242,7 +242,7 @@
 	return need
 }
 
-// waitForLease waits until the balancer grants a lease of a target.
+// waitForLease waits until the balancer grants a lease of a slot at a target.
 func (c *request) waitForLease() (*balance.Lease, *refusal) {
 	began := c.server.Clock.Now()
 	lease, err := c.server.Balancer.Acquire(c.ctx, c.balancerNeed())
