--- a/announced.go
+++ b/announced.go
@@ -8,8 +8,8 @@
 // RateLimit is the total request rate that a target accepts from all instances together. It applies for
 // as long as the target's responses announce it.
 type RateLimit struct {
-	// Named is set if the target has announced a limit.
-	Named bool
+	// Set is set if the target has announced a limit.
+	Set bool
 	// PerSecond is the limit in requests per second.
 	PerSecond float64
 }
@@ -19,13 +19,13 @@
 	return !math.IsNaN(l.PerSecond) && !math.IsInf(l.PerSecond, 0) && l.PerSecond >= 0
 }
 
-// TargetWord is what an instance knows of the announcements that a target makes in its response headers:
+// TargetAnnouncement is what an instance knows of the announcements that a target makes in its response headers:
 // its rate limit, that it is shutting down, and a backoff.
-type TargetWord struct {
+type TargetAnnouncement struct {
 	Target TargetKey
-	// Born is the start time of the target's process that made the announcement; zero if targets don't
+	// StartedAt is the start time of the target's process that made the announcement; zero if targets don't
 	// report it. An announcement of a later process always replaces that of an earlier one.
-	Born time.Time
+	StartedAt time.Time
 	// Limit is the rate limit that the target announced.
 	Limit RateLimit
 	// Version increases with each change of the limit by the same process. The highest version wins,
@@ -34,14 +34,14 @@
 	// Leaving is set once the target has announced that it is shutting down; the same process never
 	// revokes that.
 	Leaving bool
-	// RestUntil is the end of the backoff that the target has asked of this instance alone, so it is not
+	// BackoffUntil is the end of the backoff that the target has asked of this instance alone, so it is not
 	// passed on to other instances. It is never moved to an earlier time.
-	RestUntil time.Time
+	BackoffUntil time.Time
 }
 
 // Announcements holds the announcements of targets that any instance has received. It is safe for
 // concurrent use.
 type Announcements interface {
-	// Said returns the current announcement of a target; only Target is set if there is none.
-	Said(target TargetKey) TargetWord
+	// Latest returns the current announcement of a target; only Target is set if there is none.
+	Latest(target TargetKey) TargetAnnouncement
 }
--- a/announced/change.go
+++ b/announced/change.go
@@ -9,7 +9,7 @@
 // announcementChange describes how an announcement has changed, for the log and Record.Changed.
 type announcementChange struct {
 	target         shelfshelf.TargetName
-	announcement   shelfshelf.TargetWord
+	announcement   shelfshelf.TargetAnnouncement
 	limitChanged   bool
 	leavingChanged bool
 	backoffChanged bool
@@ -21,11 +21,11 @@
 
 // detectChange compares an announcement with its previous state and updates its times of change and of
 // logging. The caller must hold r.mu.
-func (r *Record) detectChange(previous shelfshelf.TargetWord, a *announcement, now time.Time) announcementChange {
+func (r *Tracker) detectChange(previous shelfshelf.TargetAnnouncement, a *announcement, now time.Time) announcementChange {
 	c := announcementChange{
-		target: r.listed[a.Target].Name, announcement: a.TargetWord,
+		target: r.listed[a.Target].Name, announcement: a.TargetAnnouncement,
 		limitChanged: previous.Limit != a.Limit, leavingChanged: previous.Leaving != a.Leaving,
-		backoffChanged: !previous.RestUntil.Equal(a.RestUntil),
+		backoffChanged: !previous.BackoffUntil.Equal(a.BackoffUntil),
 	}
 	if previous.Version != a.Version || c.limitChanged || c.leavingChanged {
 		a.changedAt = now
@@ -43,20 +43,20 @@
 
 // reportChange logs a change and calls Changed; own means that this instance read it from a response.
 // The caller must not hold r.mu.
-func (r *Record) reportChange(c announcementChange, own bool) {
+func (r *Tracker) reportChange(c announcementChange, own bool) {
 	if !c.limitChanged && !c.leavingChanged && !c.backoffChanged {
 		return
 	}
 	if c.limitReportDue {
-		r.Log.Info("The rate limit of a target changed.", "target", c.target, "named", c.announcement.Limit.Named,
+		r.Log.Info("The rate limit of a target changed.", "target", c.target, "named", c.announcement.Limit.Set,
 			"perSecond", c.announcement.Limit.PerSecond, "own", own)
 	}
 	if c.leavingChanged {
 		r.Log.Info("The shutdown announcement of a target changed.", "target", c.target, "leaving", c.announcement.Leaving,
-			"born", c.announcement.Born, "own", own)
+			"born", c.announcement.StartedAt, "own", own)
 	}
 	if c.backoffLogDue {
-		r.Log.Info("A target asked for a backoff.", "target", c.target, "left", c.announcement.RestUntil.Sub(r.Clock.Now()))
+		r.Log.Info("A target asked for a backoff.", "target", c.target, "left", c.announcement.BackoffUntil.Sub(r.Clock.Now()))
 	}
-	r.Changed(c.announcement.Target, own && (c.limitReportDue || c.leavingChanged))
+	r.OnChange(c.announcement.Target, own && (c.limitReportDue || c.leavingChanged))
 }
--- a/announced/limit.go
+++ b/announced/limit.go
@@ -12,20 +12,20 @@
 
 // noteLimit reports whether a response changes the known limit of its target's process. If the response
 // repeats that limit, noteLimit updates limitSeenAt. The caller must hold the mutex of the Record.
-func noteLimit(a *announcement, known shelfshelf.TargetWord, limit shelfshelf.RateLimit, sent, now time.Time) bool {
+func noteLimit(a *announcement, known shelfshelf.TargetAnnouncement, limit shelfshelf.RateLimit, sent, now time.Time) bool {
 	switch {
-	case limit.Named && sameLimit(known.Limit, limit):
+	case limit.Set && sameLimit(known.Limit, limit):
 		a.limitSeenAt = now
 		return false
-	case limit.Named:
+	case limit.Set:
 		return true
 	}
-	return known.Limit.Named && sent.After(a.limitSeenAt)
+	return known.Limit.Set && sent.After(a.limitSeenAt)
 }
 
 // sameLimit reports whether two limits are equal within limitTolerance.
 func sameLimit(known, limit shelfshelf.RateLimit) bool {
-	if !known.Named {
+	if !known.Set {
 		return false
 	}
 	lowest, highest := known.PerSecond*(1-limitTolerance), known.PerSecond*(1+limitTolerance)
@@ -34,12 +34,12 @@
 
 // supersedes reports whether a received limit replaces the known one. Of two limits with the same
 // version, which were read concurrently, the smaller one wins.
-func supersedes(received shelfshelf.TargetWord, a *announcement) bool {
+func supersedes(received shelfshelf.TargetAnnouncement, a *announcement) bool {
 	switch {
 	case received.Version != a.Version:
 		return received.Version > a.Version
-	case received.Limit.Named != a.Limit.Named:
-		return received.Limit.Named
+	case received.Limit.Set != a.Limit.Set:
+		return received.Limit.Set
 	}
 	return received.Limit.PerSecond < a.Limit.PerSecond
 }
--- a/announced/record.go
+++ b/announced/record.go
@@ -15,15 +15,15 @@
 // unreadable announcements.
 const minLogInterval = time.Second
 
-// Record holds what targets have announced about themselves. Set the exported fields before use. It is
+// Tracker holds what targets have announced about themselves. Set the exported fields before use. It is
 // safe for concurrent use.
-type Record struct {
+type Tracker struct {
 	Clock shelfshelf.Clock
 	Log   *log.Logger
-	// Changed is called after an announcement of a target has changed. tell requests an immediate
+	// OnChange is called after an announcement of a target has changed. tell requests an immediate
 	// status to the other instances: this instance read the change from a response, and it is a
 	// shutdown or a limit that did not also change within the last minLogInterval.
-	Changed func(target shelfshelf.TargetKey, tell bool)
+	OnChange func(target shelfshelf.TargetKey, tell bool)
 
 	// announcementCount is the number of announcements. It is usually 0, and then responses are
 	// processed without locking mu.
@@ -40,7 +40,7 @@
 
 // announcement is what a target has announced in its latest known process.
 type announcement struct {
-	shelfshelf.TargetWord
+	shelfshelf.TargetAnnouncement
 	// firstSeenAt is when this instance learnt of the process, changedAt when it learnt of the latest
 	// change that is sent to others, and limitSeenAt when it last read the limit in a response or
 	// received a newer one.
@@ -54,15 +54,15 @@
 	lastListedAt time.Time
 }
 
-// Answered processes the announcements in a target's response to a request that was sent at the given
+// ObserveResponse processes the announcements in a target's response to a request that was sent at the given
 // time. A response without a limit ends a known limit only if its request was sent after this instance
 // learnt of that limit, because response headers can arrive out of order.
-func (r *Record) Answered(target shelfshelf.Target, answer shelfshelf.Answer, sent time.Time) {
-	r.logUnreadable(target.Name, "limit", answer.LimitUnread)
-	r.logUnreadable(target.Name, "leaving", answer.LeavingUnread)
-	r.logUnreadable(target.Name, "rest", answer.RestUnread)
-	nothingToDo := !answer.Announces() && r.announcementCount.Load() == 0
-	if nothingToDo || answer.OtherTarget {
+func (r *Tracker) ObserveResponse(target shelfshelf.Target, answer shelfshelf.ResponseMetadata, sent time.Time) {
+	r.logUnreadable(target.Name, "limit", answer.InvalidLimit)
+	r.logUnreadable(target.Name, "leaving", answer.InvalidLeaving)
+	r.logUnreadable(target.Name, "rest", answer.InvalidRetryAfter)
+	nothingToDo := !answer.HasAnnouncement() && r.announcementCount.Load() == 0
+	if nothingToDo || answer.Misdirected {
 		return
 	}
 	c := r.observe(target, answer, sent)
@@ -72,7 +72,7 @@
 
 // logUnreadable logs an announcement that can't be parsed and is ignored. An empty text means that there
 // is none.
-func (r *Record) logUnreadable(target shelfshelf.TargetName, kind, text string) {
+func (r *Tracker) logUnreadable(target shelfshelf.TargetName, kind, text string) {
 	if text == "" {
 		return
 	}
@@ -89,40 +89,40 @@
 }
 
 // observe merges the announcements of a response that this instance read.
-func (r *Record) observe(target shelfshelf.Target, answer shelfshelf.Answer, sent time.Time) announcementChange {
+func (r *Tracker) observe(target shelfshelf.Target, answer shelfshelf.ResponseMetadata, sent time.Time) announcementChange {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	key := shelfshelf.KeyOfTarget(target.Name)
 	a := r.announcements[key]
-	if a == nil && !answer.Announces() || a != nil && startedLater(a.Born, target.Born) {
+	if a == nil && !answer.HasAnnouncement() || a != nil && startedLater(a.StartedAt, target.StartedAt) {
 		return announcementChange{}
 	}
 	now := r.Clock.Now()
-	received := shelfshelf.TargetWord{Target: key, Born: target.Born, Leaving: answer.Leaving}
-	if a != nil && !startedLater(target.Born, a.Born) {
+	received := shelfshelf.TargetAnnouncement{Target: key, StartedAt: target.StartedAt, Leaving: answer.Leaving}
+	if a != nil && !startedLater(target.StartedAt, a.StartedAt) {
 		received.Version, received.Limit = a.Version, a.Limit
 	}
-	if answer.LimitUnread == "" && noteLimit(a, received, answer.Limit, sent, now) {
+	if answer.InvalidLimit == "" && noteLimit(a, received, answer.Limit, sent, now) {
 		received.Version++
 		received.Limit = answer.Limit
 	}
-	if answer.Rest > 0 {
-		received.RestUntil = now.Add(answer.Rest)
+	if answer.RetryAfter > 0 {
+		received.BackoffUntil = now.Add(answer.RetryAfter)
 	}
 	return r.merge(received, now)
 }
 
-// Heard merges announcements received from another instance.
-func (r *Record) Heard(announcements []shelfshelf.TargetWord) {
+// Merge merges announcements received from another instance.
+func (r *Tracker) Merge(announcements []shelfshelf.TargetAnnouncement) {
 	for _, received := range announcements {
 		r.reportChange(r.receive(received), false)
 	}
 }
 
-func (r *Record) receive(received shelfshelf.TargetWord) announcementChange {
+func (r *Tracker) receive(received shelfshelf.TargetAnnouncement) announcementChange {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.announcements[received.Target] == nil && received.Version == 0 && !received.Leaving && received.Born.IsZero() {
+	if r.announcements[received.Target] == nil && received.Version == 0 && !received.Leaving && received.StartedAt.IsZero() {
 		return announcementChange{}
 	}
 	return r.merge(received, r.Clock.Now())
@@ -130,17 +130,17 @@
 
 // merge merges a received announcement into the known one. The result doesn't depend on the order in
 // which announcements arrive or on how often. The caller must hold r.mu.
-func (r *Record) merge(received shelfshelf.TargetWord, now time.Time) announcementChange {
+func (r *Tracker) merge(received shelfshelf.TargetAnnouncement, now time.Time) announcementChange {
 	a := r.announcements[received.Target]
-	if a != nil && startedLater(a.Born, received.Born) {
+	if a != nil && startedLater(a.StartedAt, received.StartedAt) {
 		return announcementChange{}
 	}
 	if a == nil {
 		a = newAnnouncement(received, now)
 		r.add(a)
 	}
-	previous := a.TargetWord
-	if startedLater(received.Born, a.Born) {
+	previous := a.TargetAnnouncement
+	if startedLater(received.StartedAt, a.StartedAt) {
 		changedAt := a.changedAt
 		*a = *newAnnouncement(received, now)
 		a.changedAt = changedAt
@@ -150,12 +150,12 @@
 }
 
 // newAnnouncement returns the empty announcement of a target's process.
-func newAnnouncement(like shelfshelf.TargetWord, now time.Time) *announcement {
-	return &announcement{TargetWord: shelfshelf.TargetWord{Target: like.Target, Born: like.Born}, firstSeenAt: now, lastListedAt: now}
+func newAnnouncement(like shelfshelf.TargetAnnouncement, now time.Time) *announcement {
+	return &announcement{TargetAnnouncement: shelfshelf.TargetAnnouncement{Target: like.Target, StartedAt: like.StartedAt}, firstSeenAt: now, lastListedAt: now}
 }
 
 // add adds an announcement. The caller must hold r.mu.
-func (r *Record) add(a *announcement) {
+func (r *Tracker) add(a *announcement) {
 	if r.announcements == nil {
 		r.announcements = make(map[shelfshelf.TargetKey]*announcement)
 	}
@@ -170,32 +170,32 @@
 
 // mergeSameProcess merges an announcement of the same process. The caller must hold the mutex of the
 // Record.
-func (a *announcement) mergeSameProcess(received shelfshelf.TargetWord, now time.Time) {
-	if a.Born.IsZero() {
-		a.Born = received.Born
+func (a *announcement) mergeSameProcess(received shelfshelf.TargetAnnouncement, now time.Time) {
+	if a.StartedAt.IsZero() {
+		a.StartedAt = received.StartedAt
 	}
 	a.Leaving = a.Leaving || received.Leaving
 	// The response to another request may ask for a backoff that ends sooner; the later end applies.
-	if received.RestUntil.After(a.RestUntil) {
-		a.RestUntil = received.RestUntil
+	if received.BackoffUntil.After(a.BackoffUntil) {
+		a.BackoffUntil = received.BackoffUntil
 	}
 	if supersedes(received, a) {
 		a.Limit, a.Version = received.Limit, received.Version
-		if received.Limit.Named {
+		if received.Limit.Set {
 			a.limitSeenAt = now
 		}
 	}
 }
 
-// Said returns the current announcement of a target.
-func (r *Record) Said(target shelfshelf.TargetKey) shelfshelf.TargetWord {
+// Latest returns the current announcement of a target.
+func (r *Tracker) Latest(target shelfshelf.TargetKey) shelfshelf.TargetAnnouncement {
 	if r.announcementCount.Load() == 0 {
-		return shelfshelf.TargetWord{Target: target}
+		return shelfshelf.TargetAnnouncement{Target: target}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if a := r.announcements[target]; a != nil {
-		return a.TargetWord
+		return a.TargetAnnouncement
 	}
-	return shelfshelf.TargetWord{Target: target}
+	return shelfshelf.TargetAnnouncement{Target: target}
 }
--- a/announced/record_test.go
+++ b/announced/record_test.go
@@ -23,30 +23,30 @@
 )
 
 // limited returns a response that announces a limit.
-func limited(perSecond float64) shelfshelf.Answer {
-	return shelfshelf.Answer{Limit: shelfshelf.RateLimit{Named: true, PerSecond: perSecond}}
+func limited(perSecond float64) shelfshelf.ResponseMetadata {
+	return shelfshelf.ResponseMetadata{Limit: shelfshelf.RateLimit{Set: true, PerSecond: perSecond}}
 }
 
-func newRecord(clock shelfshelf.Clock) *announced.Record {
-	return &announced.Record{
-		Clock: clock, Log: log.New(io.Discard), Changed: func(shelfshelf.TargetKey, bool) {},
+func newRecord(clock shelfshelf.Clock) *announced.Tracker {
+	return &announced.Tracker{
+		Clock: clock, Log: log.New(io.Discard), OnChange: func(shelfshelf.TargetKey, bool) {},
 	}
 }
 
 // announcementOf returns a record's announcement of the target. It clears Born if the target has announced
 // nothing.
-func announcementOf(r *announced.Record) shelfshelf.TargetWord {
-	known := r.Said(key)
+func announcementOf(r *announced.Tracker) shelfshelf.TargetAnnouncement {
+	known := r.Latest(key)
 	if known.Version == 0 && !known.Leaving {
-		known.Born = time.Time{}
+		known.StartedAt = time.Time{}
 	}
 	return known
 }
 
 // perSecond returns the target's limit in a record, or -1 if there is none.
-func perSecond(r *announced.Record) float64 {
-	known := r.Said(key)
-	if !known.Limit.Named {
+func perSecond(r *announced.Tracker) float64 {
+	known := r.Latest(key)
+	if !known.Limit.Set {
 		return -1
 	}
 	return known.Limit.PerSecond
@@ -59,18 +59,18 @@
 	r := newRecord(clock)
 	before := clock.Now()
 	clock.Advance(time.Second)
-	r.Answered(target, limited(1.5), before)
-	r.Answered(target, shelfshelf.Answer{}, before)
+	r.ObserveResponse(target, limited(1.5), before)
+	r.ObserveResponse(target, shelfshelf.ResponseMetadata{}, before)
 	if got := perSecond(r); got != 1.5 {
 		t.Errorf("limit after a response to an earlier request: %v", got)
 	}
 	clock.Advance(time.Second)
-	r.Answered(target, shelfshelf.Answer{LimitUnread: "few"}, clock.Now())
-	r.Answered(target, shelfshelf.Answer{OtherTarget: true}, clock.Now())
+	r.ObserveResponse(target, shelfshelf.ResponseMetadata{InvalidLimit: "few"}, clock.Now())
+	r.ObserveResponse(target, shelfshelf.ResponseMetadata{Misdirected: true}, clock.Now())
 	if got := perSecond(r); got != 1.5 {
 		t.Errorf("limit after an unreadable limit and a response from another target: %v", got)
 	}
-	r.Answered(target, shelfshelf.Answer{}, clock.Now())
+	r.ObserveResponse(target, shelfshelf.ResponseMetadata{}, clock.Now())
 	if got := perSecond(r); got != -1 {
 		t.Errorf("limit after a response without one: %v", got)
 	}
@@ -81,19 +81,19 @@
 func TestLimitBelongsToOneProcess(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	r := newRecord(clock)
-	r.Targets([]shelfshelf.Target{{Name: name, Born: time.Unix(1, 0)}})
-	r.Answered(target, limited(2), clock.Now())
-	r.Targets([]shelfshelf.Target{{Name: name, Born: time.Unix(1, 0)}})
+	r.SetTargets([]shelfshelf.Target{{Name: name, StartedAt: time.Unix(1, 0)}})
+	r.ObserveResponse(target, limited(2), clock.Now())
+	r.SetTargets([]shelfshelf.Target{{Name: name, StartedAt: time.Unix(1, 0)}})
 	if got := perSecond(r); got != 2 {
 		t.Errorf("limit in the same process: %v", got)
 	}
-	r.Targets([]shelfshelf.Target{{Name: name, Born: time.Unix(2, 0)}})
+	r.SetTargets([]shelfshelf.Target{{Name: name, StartedAt: time.Unix(2, 0)}})
 	if got := perSecond(r); got != -1 {
 		t.Errorf("limit after a restart: %v", got)
 	}
 	clock.Advance(2 * time.Minute)
-	r.Targets(nil)
-	if sent := r.Told(); len(sent) != 0 {
+	r.SetTargets(nil)
+	if sent := r.ForStatus(); len(sent) != 0 {
 		t.Errorf("announcements of an unlisted target: %+v", sent)
 	}
 }
@@ -105,14 +105,14 @@
 	r := newRecord(clock)
 	const count = 100
 	for i := range count {
-		r.Heard([]shelfshelf.TargetWord{{Target: shelfshelf.TargetKey(i + 1), Version: 1, Limit: shelfshelf.RateLimit{Named: true, PerSecond: 1}}})
+		r.Merge([]shelfshelf.TargetAnnouncement{{Target: shelfshelf.TargetKey(i + 1), Version: 1, Limit: shelfshelf.RateLimit{Set: true, PerSecond: 1}}})
 	}
 	clock.Advance(5 * time.Second)
-	r.Answered(target, limited(3), clock.Now())
+	r.ObserveResponse(target, limited(3), clock.Now())
 	seen := make(map[shelfshelf.TargetKey]bool)
 	for range 7 {
-		sent := r.Told()
-		if len(sent) > 16 || !slices.ContainsFunc(sent, func(l shelfshelf.TargetWord) bool { return l.Target == key }) {
+		sent := r.ForStatus()
+		if len(sent) > 16 || !slices.ContainsFunc(sent, func(l shelfshelf.TargetAnnouncement) bool { return l.Target == key }) {
 			t.Errorf("%d announcements (at most 16, with the recent change): %+v", len(sent), sent)
 		}
 		for _, limit := range sent {
@@ -129,36 +129,36 @@
 func TestLeavingLastsForOneProcess(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	r := newRecord(clock)
-	first := shelfshelf.Target{Name: name, Born: time.Unix(1, 0)}
-	second := shelfshelf.Target{Name: name, Born: time.Unix(2, 0)}
-	r.Targets([]shelfshelf.Target{first})
-	r.Answered(first, shelfshelf.Answer{Leaving: true}, clock.Now())
+	first := shelfshelf.Target{Name: name, StartedAt: time.Unix(1, 0)}
+	second := shelfshelf.Target{Name: name, StartedAt: time.Unix(2, 0)}
+	r.SetTargets([]shelfshelf.Target{first})
+	r.ObserveResponse(first, shelfshelf.ResponseMetadata{Leaving: true}, clock.Now())
 	clock.Advance(time.Second)
-	r.Answered(first, shelfshelf.Answer{}, clock.Now())
-	r.Answered(first, shelfshelf.Answer{OtherTarget: true}, clock.Now())
-	r.Targets(nil)
+	r.ObserveResponse(first, shelfshelf.ResponseMetadata{}, clock.Now())
+	r.ObserveResponse(first, shelfshelf.ResponseMetadata{Misdirected: true}, clock.Now())
+	r.SetTargets(nil)
 	clock.Advance(10 * time.Minute)
-	if sent := r.Told(); len(sent) != 0 {
+	if sent := r.ForStatus(); len(sent) != 0 {
 		t.Errorf("an unlisted target is sent: %+v", sent)
 	}
-	r.Targets([]shelfshelf.Target{first})
-	if !r.Said(key).Leaving || r.Leaving() != 1 || len(r.Told()) != 1 {
-		t.Errorf("after its entry came back: %+v, sent %+v", r.Said(key), r.Told())
+	r.SetTargets([]shelfshelf.Target{first})
+	if !r.Latest(key).Leaving || r.Leaving() != 1 || len(r.ForStatus()) != 1 {
+		t.Errorf("after its entry came back: %+v, sent %+v", r.Latest(key), r.ForStatus())
 	}
 	first.Leaving = true
-	r.Targets([]shelfshelf.Target{first})
-	if r.Leaving() != 0 || len(r.Told()) != 0 {
-		t.Errorf("a shutdown that the entry shows is sent: %+v", r.Told())
+	r.SetTargets([]shelfshelf.Target{first})
+	if r.Leaving() != 0 || len(r.ForStatus()) != 0 {
+		t.Errorf("a shutdown that the entry shows is sent: %+v", r.ForStatus())
 	}
-	r.Targets([]shelfshelf.Target{second})
-	if r.Said(key).Leaving {
+	r.SetTargets([]shelfshelf.Target{second})
+	if r.Latest(key).Leaving {
 		t.Error("the next process inherited the shutdown announcement")
 	}
 	// Late messages of the first process arrive, and the store lists it again from an older copy.
-	r.Heard([]shelfshelf.TargetWord{{Target: key, Born: first.Born, Leaving: true, Version: 9, Limit: shelfshelf.RateLimit{Named: true}}})
-	r.Answered(first, shelfshelf.Answer{Leaving: true}, clock.Now())
-	r.Targets([]shelfshelf.Target{first})
-	if known := r.Said(key); known.Leaving || known.Limit.Named {
+	r.Merge([]shelfshelf.TargetAnnouncement{{Target: key, StartedAt: first.StartedAt, Leaving: true, Version: 9, Limit: shelfshelf.RateLimit{Set: true}}})
+	r.ObserveResponse(first, shelfshelf.ResponseMetadata{Leaving: true}, clock.Now())
+	r.SetTargets([]shelfshelf.Target{first})
+	if known := r.Latest(key); known.Leaving || known.Limit.Set {
 		t.Errorf("announcements of the first process apply to the second: %+v", known)
 	}
 }
@@ -168,24 +168,24 @@
 func TestBackoffIsLocalToOneInstance(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	r := newRecord(clock)
-	first := shelfshelf.Target{Name: name, Born: time.Unix(1, 0)}
-	r.Targets([]shelfshelf.Target{first})
+	first := shelfshelf.Target{Name: name, StartedAt: time.Unix(1, 0)}
+	r.SetTargets([]shelfshelf.Target{first})
 	began := clock.Now()
 	for _, backoff := range []time.Duration{3 * time.Second, time.Second, 10 * time.Minute, 0} {
-		r.Answered(first, shelfshelf.Answer{Rest: backoff}, clock.Now())
+		r.ObserveResponse(first, shelfshelf.ResponseMetadata{RetryAfter: backoff}, clock.Now())
 	}
-	if sent := r.Told(); len(sent) != 0 {
+	if sent := r.ForStatus(); len(sent) != 0 {
 		t.Errorf("a backoff is sent: %+v", sent)
 	}
-	r.Targets(nil)
+	r.SetTargets(nil)
 	clock.Advance(9 * time.Minute)
-	r.Targets([]shelfshelf.Target{first})
-	if got := r.Said(key).RestUntil.Sub(began); got != 10*time.Minute || r.Resting() != 1 {
+	r.SetTargets([]shelfshelf.Target{first})
+	if got := r.Latest(key).BackoffUntil.Sub(began); got != 10*time.Minute || r.Resting() != 1 {
 		t.Errorf("backoff of %v, %d targets in backoff", got, r.Resting())
 	}
-	r.Targets([]shelfshelf.Target{{Name: name, Born: time.Unix(2, 0)}})
-	if !r.Said(key).RestUntil.IsZero() || r.Resting() != 0 {
-		t.Errorf("after a restart: %+v", r.Said(key))
+	r.SetTargets([]shelfshelf.Target{{Name: name, StartedAt: time.Unix(2, 0)}})
+	if !r.Latest(key).BackoffUntil.IsZero() || r.Resting() != 0 {
+		t.Errorf("after a restart: %+v", r.Latest(key))
 	}
 }
 
@@ -193,13 +193,13 @@
 func TestUnreadableAnnouncementsAreIgnored(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	r := newRecord(clock)
-	r.Answered(target, shelfshelf.Answer{LeavingUnread: "soon", LimitUnread: "few", RestUnread: "a while"}, clock.Now())
-	r.Answered(target, shelfshelf.Answer{Leaving: true, OtherTarget: true}, clock.Now())
-	if known := r.Said(key); known != (shelfshelf.TargetWord{Target: key}) {
+	r.ObserveResponse(target, shelfshelf.ResponseMetadata{InvalidLeaving: "soon", InvalidLimit: "few", InvalidRetryAfter: "a while"}, clock.Now())
+	r.ObserveResponse(target, shelfshelf.ResponseMetadata{Leaving: true, Misdirected: true}, clock.Now())
+	if known := r.Latest(key); known != (shelfshelf.TargetAnnouncement{Target: key}) {
 		t.Errorf("unreadable announcements were recorded: %+v", known)
 	}
-	r.Answered(target, shelfshelf.Answer{Leaving: true, LimitUnread: "few"}, clock.Now())
-	if !r.Said(key).Leaving {
+	r.ObserveResponse(target, shelfshelf.ResponseMetadata{Leaving: true, InvalidLimit: "few"}, clock.Now())
+	if !r.Latest(key).Leaving {
 		t.Error("a shutdown announcement beside an unreadable limit was ignored")
 	}
 }
@@ -221,57 +221,57 @@
 			}
 			return at
 		}
-		var leaving [4]shelfshelf.TargetWord
+		var leaving [4]shelfshelf.TargetAnnouncement
 		clock := clockwork.NewFakeClock()
-		records := make([]*announced.Record, 4)
+		records := make([]*announced.Tracker, 4)
 		for i := range records {
 			records[i] = newRecord(clock)
 		}
-		var sent [][]shelfshelf.TargetWord
+		var sent [][]shelfshelf.TargetAnnouncement
 		pick := rapid.IntRange(0, len(records)-1)
 		t.Repeat(map[string]func(*rapid.T){
 			"read": func(t *rapid.T) {
-				answer := shelfshelf.Answer{}
+				answer := shelfshelf.ResponseMetadata{}
 				if rapid.Bool().Draw(t, "named") {
 					answer = limited(rapid.Float64Range(0, 9).Draw(t, "limit"))
 				}
 				answer.Leaving = rapid.IntRange(0, 5).Draw(t, "leaves") == 0
 				clock.Advance(time.Millisecond)
 				by := pick.Draw(t, "by")
-				of := shelfshelf.Target{Name: name, Born: born(t)}
-				records[by].Answered(of, answer, clock.Now())
-				if answer.Leaving && !of.Born.Before(leaving[by].Born) {
-					leaving[by] = shelfshelf.TargetWord{Leaving: true, Born: of.Born}
+				of := shelfshelf.Target{Name: name, StartedAt: born(t)}
+				records[by].ObserveResponse(of, answer, clock.Now())
+				if answer.Leaving && !of.StartedAt.Before(leaving[by].StartedAt) {
+					leaving[by] = shelfshelf.TargetAnnouncement{Leaving: true, StartedAt: of.StartedAt}
 				}
 			},
 			"list": func(t *rapid.T) {
-				records[pick.Draw(t, "at")].Targets([]shelfshelf.Target{{Name: name, Born: born(t)}})
+				records[pick.Draw(t, "at")].SetTargets([]shelfshelf.Target{{Name: name, StartedAt: born(t)}})
 			},
 			"": func(t *rapid.T) {
 				for i, r := range records {
-					known := r.Said(key)
-					if leaving[i].Leaving && !known.Leaving && !known.Born.After(leaving[i].Born) {
+					known := r.Latest(key)
+					if leaving[i].Leaving && !known.Leaving && !known.StartedAt.After(leaving[i].StartedAt) {
 						t.Fatalf("lost a shutdown announcement: %+v, read %+v", known, leaving[i])
 					}
 				}
 			},
 			"tell": func(t *rapid.T) {
-				sent = append(sent, records[pick.Draw(t, "from")].Told())
+				sent = append(sent, records[pick.Draw(t, "from")].ForStatus())
 			},
 			"hear": func(t *rapid.T) {
 				if len(sent) > 0 {
-					records[pick.Draw(t, "to")].Heard(sent[rapid.IntRange(0, len(sent)-1).Draw(t, "word")])
+					records[pick.Draw(t, "to")].Merge(sent[rapid.IntRange(0, len(sent)-1).Draw(t, "word")])
 				}
 			},
 		})
 		// In the end all instances read the same list.
 		for _, r := range records {
-			r.Targets([]shelfshelf.Target{{Name: name, Born: newest}})
+			r.SetTargets([]shelfshelf.Target{{Name: name, StartedAt: newest}})
 		}
 		for range 2 {
 			for _, from := range records {
 				for _, to := range records {
-					to.Heard(from.Told())
+					to.Merge(from.ForStatus())
 				}
 			}
 		}
@@ -282,10 +282,10 @@
 		}
 		clock.Advance(time.Millisecond)
 		last := rapid.Float64Range(10, 20).Draw(t, "last")
-		records[0].Answered(shelfshelf.Target{Name: name, Born: records[0].Said(key).Born}, limited(last), clock.Now())
+		records[0].ObserveResponse(shelfshelf.Target{Name: name, StartedAt: records[0].Latest(key).StartedAt}, limited(last), clock.Now())
 		for _, r := range records {
-			r.Heard(records[0].Told())
-			r.Heard(append([]shelfshelf.TargetWord(nil), records[1].Told()...))
+			r.Merge(records[0].ForStatus())
+			r.Merge(append([]shelfshelf.TargetAnnouncement(nil), records[1].ForStatus()...))
 			if perSecond(r) != last {
 				t.Fatalf("limit %v, want %v", perSecond(r), last)
 			}
--- a/announced/status.go
+++ b/announced/status.go
@@ -17,9 +17,9 @@
 	maxPerStatus = 16
 )
 
-// Told returns the announcements for the next status: recent changes first, then the next of the
+// ForStatus returns the announcements for the next status: recent changes first, then the next of the
 // others in rotation.
-func (r *Record) Told() []shelfshelf.TargetWord {
+func (r *Tracker) ForStatus() []shelfshelf.TargetAnnouncement {
 	if r.announcementCount.Load() == 0 {
 		return nil
 	}
@@ -28,12 +28,12 @@
 	now := r.Clock.Now()
 	r.removeExpired(now)
 	keys := r.rotationOrder(now)
-	var sent []shelfshelf.TargetWord
+	var sent []shelfshelf.TargetAnnouncement
 	for _, recent := range []bool{true, false} {
 		for _, key := range keys {
 			a := r.announcements[key]
 			if len(sent) < maxPerStatus && a.changedRecently(now) == recent {
-				sent = append(sent, a.TargetWord)
+				sent = append(sent, a.TargetAnnouncement)
 				r.nextKey = key + 1
 			}
 		}
@@ -48,7 +48,7 @@
 // rotationOrder returns all targets with an announcement to send, starting after the last one sent. A
 // shutdown is left out if the target's entry says it too or the target isn't listed, because all
 // instances know of it then. The caller must hold r.mu.
-func (r *Record) rotationOrder(now time.Time) []shelfshelf.TargetKey {
+func (r *Tracker) rotationOrder(now time.Time) []shelfshelf.TargetKey {
 	keys := make([]shelfshelf.TargetKey, 0, len(r.announcements))
 	for key, a := range r.announcements {
 		if a.Version > 0 || a.changedRecently(now) || r.onlyResponsesSayLeaving(a) {
--- a/announced/targets.go
+++ b/announced/targets.go
@@ -15,15 +15,15 @@
 	leavingRetention = time.Hour
 )
 
-// Targets replaces the list of targets. A new process of a target starts without announcements, and
+// SetTargets replaces the list of targets. A new process of a target starts without announcements, and
 // those of an unlisted target are removed once late messages about it are no longer expected.
-func (r *Record) Targets(targets []shelfshelf.Target) {
+func (r *Tracker) SetTargets(targets []shelfshelf.Target) {
 	for _, c := range r.updateList(targets) {
 		r.reportChange(c, false)
 	}
 }
 
-func (r *Record) updateList(targets []shelfshelf.Target) []announcementChange {
+func (r *Tracker) updateList(targets []shelfshelf.Target) []announcementChange {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.Clock.Now()
@@ -38,7 +38,7 @@
 		key := shelfshelf.KeyOfTarget(target.Name)
 		r.listed[key] = target
 		if r.announcements[key] != nil {
-			changes = append(changes, r.merge(shelfshelf.TargetWord{Target: key, Born: target.Born}, now))
+			changes = append(changes, r.merge(shelfshelf.TargetAnnouncement{Target: key, StartedAt: target.StartedAt}, now))
 		}
 	}
 	r.removeExpired(now)
@@ -47,7 +47,7 @@
 
 // removeExpired removes announcements that no longer matter: limits that ended long ago and those of
 // targets that are gone. The caller must hold r.mu.
-func (r *Record) removeExpired(now time.Time) {
+func (r *Tracker) removeExpired(now time.Time) {
 	for key, a := range r.announcements {
 		if !r.retained(a, now) {
 			delete(r.announcements, key)
@@ -58,45 +58,45 @@
 
 // retained reports whether an announcement still matters or older messages about it may still arrive.
 // The caller must hold r.mu.
-func (r *Record) retained(a *announcement, now time.Time) bool {
+func (r *Tracker) retained(a *announcement, now time.Time) bool {
 	_, listed := r.listed[a.Target]
 	switch {
-	case now.Sub(a.firstSeenAt) <= endedLimitRetention, now.Sub(a.changedAt) <= endedLimitRetention, now.Before(a.RestUntil):
+	case now.Sub(a.firstSeenAt) <= endedLimitRetention, now.Sub(a.changedAt) <= endedLimitRetention, now.Before(a.BackoffUntil):
 		return true
 	case a.Leaving:
 		return listed || now.Sub(a.lastListedAt) <= leavingRetention
 	}
-	return a.Limit.Named && listed
+	return a.Limit.Set && listed
 }
 
 // Limited returns the number of targets with a rate limit.
-func (r *Record) Limited() int {
-	return r.count(func(a *announcement) bool { return a.Limit.Named })
+func (r *Tracker) Limited() int {
+	return r.count(func(a *announcement) bool { return a.Limit.Set })
 }
 
 // Leaving returns the number of listed targets that announce their shutdown in responses but not in their
 // entries.
-func (r *Record) Leaving() int {
+func (r *Tracker) Leaving() int {
 	return r.count(r.onlyResponsesSayLeaving)
 }
 
 // Resting returns the number of listed targets whose backoff, asked of this instance, isn't over.
-func (r *Record) Resting() int {
+func (r *Tracker) Resting() int {
 	now := r.Clock.Now()
 	return r.count(func(a *announcement) bool {
 		_, listed := r.listed[a.Target]
-		return listed && now.Before(a.RestUntil)
+		return listed && now.Before(a.BackoffUntil)
 	})
 }
 
 // onlyResponsesSayLeaving reports whether a listed target has announced its shutdown in responses while
 // its entry doesn't say so. The caller must hold r.mu.
-func (r *Record) onlyResponsesSayLeaving(a *announcement) bool {
+func (r *Tracker) onlyResponsesSayLeaving(a *announcement) bool {
 	target, listed := r.listed[a.Target]
 	return a.Leaving && listed && !target.Leaving
 }
 
-func (r *Record) count(matches func(*announcement) bool) int {
+func (r *Tracker) count(matches func(*announcement) bool) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	count := 0
--- a/announced/token_bucket.go
+++ b/announced/token_bucket.go
@@ -18,10 +18,10 @@
 // fractions can fall short of 1.
 const wholeToken = 1 - 1e-9
 
-// Gate is a token bucket that limits the rate of sends to a target. It starts empty: a new owner
+// TokenBucket is a token bucket that limits the rate of sends to a target. It starts empty: a new owner
 // of the target doesn't know what was sent before, so a full bucket would allow an extra send with
 // each change of owner.
-type Gate struct {
+type TokenBucket struct {
 	// rate is in sends per second; 0 closes the gate.
 	rate float64
 	// tokens is the number of sends available as of filledAt.
@@ -29,19 +29,19 @@
 	filledAt time.Time
 }
 
-// RateWithin returns the rate of a gate that allows at most perSecond sends within any second, including
+// RateForWindow returns the rate of a gate that allows at most perSecond sends within any second, including
 // those for accumulated tokens.
-func RateWithin(perSecond float64) float64 {
+func RateForWindow(perSecond float64) float64 {
 	return perSecond / (1 + burstDuration.Seconds())
 }
 
-// NewGate returns a gate with a rate in sends per second and an initial number of tokens.
-func NewGate(rate, initial float64, now time.Time) *Gate {
-	return &Gate{rate: rate, tokens: initial, filledAt: now}
+// NewTokenBucket returns a gate with a rate in sends per second and an initial number of tokens.
+func NewTokenBucket(rate, initial float64, now time.Time) *TokenBucket {
+	return &TokenBucket{rate: rate, tokens: initial, filledAt: now}
 }
 
 // SetRate sets the rate in sends per second; 0 closes the gate and removes all tokens.
-func (g *Gate) SetRate(rate float64, now time.Time) {
+func (g *TokenBucket) SetRate(rate float64, now time.Time) {
 	g.refill(now)
 	g.rate = rate
 	g.tokens = min(g.tokens, g.capacity())
@@ -50,8 +50,8 @@
 	}
 }
 
-// Left returns how long to wait for the next send, 0 if one is allowed now.
-func (g *Gate) Left(now time.Time) time.Duration {
+// Wait returns how long to wait for the next send, 0 if one is allowed now.
+func (g *TokenBucket) Wait(now time.Time) time.Duration {
 	g.refill(now)
 	switch {
 	case g.rate <= 0:
@@ -64,16 +64,16 @@
 }
 
 // Take uses one token. The caller must have seen Left return 0.
-func (g *Gate) Take() {
+func (g *TokenBucket) Take() {
 	g.tokens--
 }
 
 // capacity returns the largest number of tokens that accumulate.
-func (g *Gate) capacity() float64 {
+func (g *TokenBucket) capacity() float64 {
 	return max(1, g.rate*burstDuration.Seconds())
 }
 
-func (g *Gate) refill(now time.Time) {
+func (g *TokenBucket) refill(now time.Time) {
 	if elapsed := now.Sub(g.filledAt); elapsed > 0 {
 		g.tokens = min(g.tokens+g.rate*elapsed.Seconds(), g.capacity())
 	}
--- a/announced/token_bucket_test.go
+++ b/announced/token_bucket_test.go
@@ -16,12 +16,12 @@
 		seed := rapid.Uint64().Draw(t, "seed")
 		random := rand.New(rand.NewPCG(seed, 1))
 		now := time.Unix(100, 0)
-		gate := NewGate(0, 0, now)
+		gate := NewTokenBucket(0, 0, now)
 		var sent []time.Time
 		for range 600 {
 			now = now.Add(time.Duration(random.ExpFloat64() * float64(20*time.Millisecond)))
 			gate.SetRate(rate*random.Float64(), now)
-			if gate.Left(now) == 0 {
+			if gate.Wait(now) == 0 {
 				gate.Take()
 				sent = append(sent, now)
 			}
@@ -55,26 +55,26 @@
 func checkWaits(t rapid.TB, rate float64) {
 	t.Helper()
 	now := time.Unix(100, 0)
-	gate := NewGate(0, 0, now)
+	gate := NewTokenBucket(0, 0, now)
 	gate.SetRate(rate, now)
 	for range 20 {
-		left := gate.Left(now)
+		left := gate.Wait(now)
 		if left <= 0 {
 			t.Fatal("a send is allowed too early")
 		}
 		now = now.Add(left)
-		if left := gate.Left(now); left != 0 {
+		if left := gate.Wait(now); left != 0 {
 			t.Fatalf("%v left after the wait", left)
 		}
 		gate.Take()
 	}
 	now = now.Add(time.Minute)
 	gate.SetRate(0, now)
-	if gate.Left(now) != closedRetryDelay {
+	if gate.Wait(now) != closedRetryDelay {
 		t.Fatal("a closed gate allows a send")
 	}
 	gate.SetRate(rate, now)
-	if gate.Left(now) == 0 {
+	if gate.Wait(now) == 0 {
 		t.Fatal("a gate that was closed has kept a token")
 	}
 }
--- a/announced/wire.go
+++ b/announced/wire.go
@@ -22,15 +22,15 @@
 }
 
 // ToWire returns the message form of announcements, or nil, which takes one byte, if there are none.
-func ToWire(announcements []shelfshelf.TargetWord) []Wire {
+func ToWire(announcements []shelfshelf.TargetAnnouncement) []Wire {
 	var wire []Wire
 	for _, known := range announcements {
 		w := Wire{
-			Target: uint32(known.Target), Named: known.Limit.Named, PerSecond: known.Limit.PerSecond, Version: known.Version,
+			Target: uint32(known.Target), Named: known.Limit.Set, PerSecond: known.Limit.PerSecond, Version: known.Version,
 			Leaving: known.Leaving,
 		}
-		if !known.Born.IsZero() {
-			w.Born = known.Born.UnixMilli()
+		if !known.StartedAt.IsZero() {
+			w.Born = known.StartedAt.UnixMilli()
 		}
 		wire = append(wire, w)
 	}
@@ -38,15 +38,15 @@
 }
 
 // FromWire returns the announcements of a message. It drops those whose limit isn't a valid number.
-func FromWire(wire []Wire) []shelfshelf.TargetWord {
-	var announcements []shelfshelf.TargetWord
+func FromWire(wire []Wire) []shelfshelf.TargetAnnouncement {
+	var announcements []shelfshelf.TargetAnnouncement
 	for _, encoded := range wire {
-		received := shelfshelf.TargetWord{
-			Target: shelfshelf.TargetKey(encoded.Target), Limit: shelfshelf.RateLimit{Named: encoded.Named, PerSecond: encoded.PerSecond},
+		received := shelfshelf.TargetAnnouncement{
+			Target: shelfshelf.TargetKey(encoded.Target), Limit: shelfshelf.RateLimit{Set: encoded.Named, PerSecond: encoded.PerSecond},
 			Version: encoded.Version, Leaving: encoded.Leaving,
 		}
 		if encoded.Born != 0 {
-			received.Born = time.UnixMilli(encoded.Born)
+			received.StartedAt = time.UnixMilli(encoded.Born)
 		}
 		if received.Limit.Valid() {
 			announcements = append(announcements, received)
--- a/balance/announced_test.go
+++ b/balance/announced_test.go
@@ -17,11 +17,11 @@
 
 // recordAnnouncements lets a balancer know what targets announce with their answers. The returned
 // function delivers an answer.
-func recordAnnouncements(b *balance.Balancer) func(target shelfshelf.TargetName, answer shelfshelf.Answer) {
-	record := &announced.Record{Clock: b.Clock, Log: log.New(io.Discard), Changed: func(target shelfshelf.TargetKey, _ bool) { b.WordChanged(target) }}
-	b.Announced = record
-	return func(target shelfshelf.TargetName, answer shelfshelf.Answer) {
-		record.Answered(shelfshelf.Target{Name: target}, answer, b.Clock.Now())
+func recordAnnouncements(b *balance.Balancer) func(target shelfshelf.TargetName, answer shelfshelf.ResponseMetadata) {
+	record := &announced.Tracker{Clock: b.Clock, Log: log.New(io.Discard), OnChange: func(target shelfshelf.TargetKey, _ bool) { b.AnnouncementChanged(target) }}
+	b.Announcements = record
+	return func(target shelfshelf.TargetName, answer shelfshelf.ResponseMetadata) {
+		record.ObserveResponse(shelfshelf.Target{Name: target}, answer, b.Clock.Now())
 	}
 }
 
@@ -33,8 +33,8 @@
 		announce := recordAnnouncements(b)
 		other := acquire(t, b, need("other", 0))
 		backingOff := other.Target.Name
-		announce(backingOff, shelfshelf.Answer{Rest: 3 * time.Second})
-		announce(backingOff, shelfshelf.Answer{Rest: time.Second})
+		announce(backingOff, shelfshelf.ResponseMetadata{RetryAfter: 3 * time.Second})
+		announce(backingOff, shelfshelf.ResponseMetadata{RetryAfter: time.Second})
 		other.Release(balance.Result{})
 		pools, targets := engines(4, local, local)
 		for _, list := range [][]shelfshelf.Target{nil, targets} {
@@ -71,12 +71,12 @@
 				defer cancel()
 				go func() { _ = b.Run(ctx) }()
 				announce := recordAnnouncements(b)
-				announce("t0", shelfshelf.Answer{Rest: 8 * time.Second})
-				announce("t1", shelfshelf.Answer{Rest: 6 * time.Second})
+				announce("t0", shelfshelf.ResponseMetadata{RetryAfter: 8 * time.Second})
+				announce("t1", shelfshelf.ResponseMetadata{RetryAfter: 6 * time.Second})
 				began := time.Now()
 				_, err := b.Acquire(context.Background(), need("x", time.Second))
 				var refusal *balance.Refusal
-				if !errors.As(err, &refusal) || refusal.Reason != shelfshelf.RefusedRest || time.Since(began) > 0 {
+				if !errors.As(err, &refusal) || refusal.Reason != shelfshelf.RefusedBackoff || time.Since(began) > 0 {
 					t.Fatalf("after %v: %v", time.Since(began), err)
 				}
 				if after := refusal.RetryAfter; after < 6*time.Second || after > 6*time.Second+800*time.Millisecond {
@@ -94,15 +94,15 @@
 // A request that is granted a slot at a target that has meanwhile requested a backoff or started to
 // leave goes to another target.
 func TestGrantsAtUnavailableTargetsAreRetriedElsewhere(t *testing.T) {
-	for name, answer := range map[string]shelfshelf.Answer{
-		"rest": {Rest: 5 * time.Second}, "leaving": {Leaving: true},
+	for name, answer := range map[string]shelfshelf.ResponseMetadata{
+		"rest": {RetryAfter: 5 * time.Second}, "leaving": {Leaving: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b, o := newBalancerWithOwners(4, local, "b")
 				announce := recordAnnouncements(b)
-				o.setOutcome("t0", shelfshelf.PlaceWaits)
-				o.setOutcome("t1", shelfshelf.PlaceRests)
+				o.setOutcome("t0", shelfshelf.SlotQueued)
+				o.setOutcome("t1", shelfshelf.SlotUnavailable)
 				o.backoff = 10 * time.Millisecond
 				served := make(chan shelfshelf.TargetName, 1)
 				go func() {
@@ -118,7 +118,7 @@
 				announce("t0", answer)
 				time.Sleep(50 * time.Millisecond)
 				o.mu.Lock()
-				o.setOutcome("t1", shelfshelf.PlaceGranted)
+				o.setOutcome("t1", shelfshelf.SlotGranted)
 				o.mu.Unlock()
 				o.grantQueued("t0")
 				synctest.Wait()
--- a/balance/backoff.go
+++ b/balance/backoff.go
@@ -20,7 +20,7 @@
 		if !t.eligible(need) {
 			continue
 		}
-		until := t.announcement.RestUntil
+		until := t.announcement.BackoffUntil
 		if !until.After(now) {
 			return time.Time{}
 		}
@@ -37,23 +37,23 @@
 	if !b.requestedBackoffEnd(need).After(need.WaitUntil) {
 		return nil
 	}
-	return &Refusal{Reason: shelfshelf.RefusedRest, RetryAfter: b.refusalRetryAfter(need)}
+	return &Refusal{Reason: shelfshelf.RefusedBackoff, RetryAfter: b.refusalRetryAfter(need)}
 }
 
 // refusalRetryAfter returns the retry delay for a refused caller. If all targets have requested a
 // backoff, the delay lasts at least until the first of these ends, up to maxRequestedBackoff.
 func (b *Balancer) refusalRetryAfter(need Need) time.Duration {
-	if left := b.RestLeft(need); left > 0 {
+	if left := b.RequestedBackoffLeft(need); left > 0 {
 		return left
 	}
 	return retryAfter(need)
 }
 
-// RestLeft returns the retry delay for a refused caller if all targets have requested a backoff; 0
+// RequestedBackoffLeft returns the retry delay for a refused caller if all targets have requested a backoff; 0
 // if one of them requests none at the moment. Targets in Avoid count too, since the caller will
 // return with a new request.
-func (b *Balancer) RestLeft(need Need) time.Duration {
-	need.Avoid = nil
+func (b *Balancer) RequestedBackoffLeft(need Need) time.Duration {
+	need.ExcludedTargets = nil
 	until := b.requestedBackoffEnd(need)
 	if until.IsZero() {
 		return 0
@@ -75,6 +75,6 @@
 // spreadRetryAfter returns the retry delay for callers that wait for a backoff to end. Callers are
 // spread over one goal after it, since a target that requested a backoff has little capacity.
 func spreadRetryAfter(need Need, left time.Duration) time.Duration {
-	spread := time.Duration(rand.Float64() * float64(need.Goal))
+	spread := time.Duration(rand.Float64() * float64(need.LatencyGoal))
 	return max(min(left, maxRequestedBackoff)+spread, minRetryAfter)
 }
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -30,24 +30,24 @@
 	// Rank is the priority of the customer and Tier that of the request; lower values go first.
 	Rank int
 	Tier shelfshelf.Tier
-	// Begun says that a target has already worked on the request; such requests go first.
-	Begun bool
+	// Started says that a target has already worked on the request; such requests go first.
+	Started bool
 	// Arrived is when the request arrived.
 	Arrived time.Time
 	// WaitUntil is when a request without a slot is refused.
 	WaitUntil time.Time
 	// Deadline is when the caller gives up; zero if unknown.
 	Deadline time.Time
-	// Goal is the time within which the first token, or a plain answer, is due.
-	Goal   time.Duration
+	// LatencyGoal is the time within which the first token, or a plain answer, is due.
+	LatencyGoal   time.Duration
 	Prompt []shelfshelf.PromptPart
 	// PromptTokens and OutputTokens are the expected sizes, zero for plain services.
 	PromptTokens int
 	OutputTokens int
-	// Avoid lists the targets that have already failed the request.
-	Avoid []shelfshelf.TargetName
-	// Homes are the allowed regions of the request; nil means any.
-	Homes *shelfshelf.Homes
+	// ExcludedTargets lists the targets that have already failed the request.
+	ExcludedTargets []shelfshelf.TargetName
+	// AllowedRegions are the allowed regions of the request; nil means any.
+	AllowedRegions *shelfshelf.RegionSet
 	// Route is the route on which the request arrived.
 	Route shelfshelf.RouteName
 
@@ -79,15 +79,15 @@
 	Self shelfshelf.InstanceID
 	// Fleet describes the other instances; nil means that there are none.
 	Fleet Fleet
-	// Places requests slots from the owners of engines. If it is nil, this instance decides by its
+	// SlotOwners requests slots from the owners of engines. If it is nil, this instance decides by its
 	// own view of the load: its own requests and the loads that the others report.
-	Places shelfshelf.Places
+	SlotOwners shelfshelf.SlotOwners
 	// Rollouts chooses the target versions that requests may use; nil allows any.
 	Rollouts shelfshelf.Rollouts
-	// Announced returns what targets have announced about themselves; nil means that nothing is
+	// Announcements returns what targets have announced about themselves; nil means that nothing is
 	// known. Slots of targets with a limit are granted by their owners only, so without Places such
 	// targets get no requests.
-	Announced shelfshelf.Announcements
+	Announcements shelfshelf.Announcements
 
 	mu           sync.Mutex
 	pools        map[shelfshelf.PoolName]*pool
@@ -165,7 +165,7 @@
 // stateOf returns the state of a listed target: a new one if the target is new or has restarted
 // since it was last listed.
 func stateOf(before *targetState, target shelfshelf.Target) (state *targetState, created bool) {
-	if before != nil && before.target.SameLife(target) {
+	if before != nil && before.target.SameIncarnation(target) {
 		return before, false
 	}
 	return &targetState{
@@ -202,7 +202,7 @@
 		if lease := b.acquireTrial(ctx, need); lease != nil {
 			return lease, nil
 		}
-		old := need.choice.Old()
+		old := need.choice.WithoutTrial()
 		need.choice = &old
 	}
 	if refusal := b.refuseForBackoff(need); refusal != nil {
@@ -210,7 +210,7 @@
 	}
 	if b.assignedByOwners(need.Pool) {
 		if b.exceedsTierShare(need) {
-			return nil, &Refusal{Reason: shelfshelf.RefusedOrder, RetryAfter: retryAfter(need)}
+			return nil, &Refusal{Reason: shelfshelf.RefusedForHigherTier, RetryAfter: retryAfter(need)}
 		}
 		lease, err := b.acquireFromOwners(ctx, need)
 		if ctx.Err() == nil {
@@ -228,7 +228,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := b.pools[name]
-	return b.Places != nil && p != nil && p.spec.Engine != nil && len(p.targets) > 0
+	return b.SlotOwners != nil && p != nil && p.spec.Engine != nil && len(p.targets) > 0
 }
 
 // acquireLocally waits for a slot without asking owners: this instance decides by its own view of
@@ -239,7 +239,7 @@
 	p := b.pools[need.Pool]
 	if p == nil || p.unservable(need) {
 		b.mu.Unlock()
-		return nil, &Refusal{Reason: shelfshelf.RefusedNoTarget, RetryAfter: max(b.RestLeft(need), minRetryAfter)}
+		return nil, &Refusal{Reason: shelfshelf.RefusedNoTarget, RetryAfter: max(b.RequestedBackoffLeft(need), minRetryAfter)}
 	}
 	ahead := p.countAhead(need)
 	if ahead == 0 {
--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -37,7 +37,7 @@
 	now := time.Now()
 	return balance.Need{
 		ID: shelfshelf.RequestID(id), Pool: "p", Arrived: now, WaitUntil: now.Add(wait),
-		PromptTokens: 1000, OutputTokens: 100, Goal: 800 * time.Millisecond,
+		PromptTokens: 1000, OutputTokens: 100, LatencyGoal: 800 * time.Millisecond,
 	}
 }
 
@@ -70,12 +70,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newBalancer(2, local)
 		load := []shelfshelf.TargetLoad{{Target: shelfshelf.KeyOfTarget("t0"), Requests: 1}}
-		b.Heard("other", load)
-		b.HeardCentre(shelfshelf.Digest{DataCentre: "b", Loads: load})
+		b.SetPeerLoads("other", load)
+		b.ApplyDigest(shelfshelf.Digest{DataCentre: "b", Loads: load})
 		if _, err := b.Acquire(context.Background(), need("x", 0)); err == nil {
 			t.Error("a slot used by others was granted")
 		}
-		b.Heard("other", nil)
+		b.SetPeerLoads("other", nil)
 		acquire(t, b, need("y", 0))
 		if _, err := b.Acquire(context.Background(), need("x", 0)); err == nil {
 			t.Error("a slot used by the other data centre was granted")
@@ -92,7 +92,7 @@
 	b.SetTargets(pools, targets)
 	for i := range 4 {
 		n := need(fmt.Sprint(i), 0)
-		n.Avoid = []shelfshelf.TargetName{"t1"}
+		n.ExcludedTargets = []shelfshelf.TargetName{"t1"}
 		if got := acquire(t, b, n).Target.Name; got != "t2" {
 			t.Errorf("%s", got)
 		}
@@ -146,7 +146,7 @@
 		t.Error("a lower tier got the last slot")
 	}
 	begun := lower
-	begun.Begun = true
+	begun.Started = true
 	acquire(t, b, begun).Release(balance.Result{})
 	acquire(t, b, need("highest", 0))
 }
@@ -231,7 +231,7 @@
 		got := 0
 		for ; got < 10; got++ {
 			n := need("x", 0)
-			n.Goal = goal
+			n.LatencyGoal = goal
 			if _, err := b.Acquire(context.Background(), n); err != nil {
 				break
 			}
@@ -283,7 +283,7 @@
 		for _, lease := range held {
 			lease.Release(balance.Result{})
 		}
-		if left := b.Own(); len(left) != 0 {
+		if left := b.LocalLoads(); len(left) != 0 {
 			t.Fatalf("%v", left)
 		}
 	})
@@ -325,7 +325,7 @@
 		if after := expectedTime(); after != before {
 			t.Errorf("expected %v before and %v after", before, after)
 		}
-		if left := len(b.Own()); left != 0 {
+		if left := len(b.LocalLoads()); left != 0 {
 			t.Errorf("%d targets have slots in use", left)
 		}
 	})
@@ -338,8 +338,8 @@
 	one := func(name shelfshelf.TargetName) shelfshelf.TargetLoad {
 		return shelfshelf.TargetLoad{Target: shelfshelf.KeyOfTarget(name), Requests: 1}
 	}
-	b.Heard("early", []shelfshelf.TargetLoad{one("t0")})
-	b.HeardCentre(shelfshelf.Digest{DataCentre: "b", Loads: []shelfshelf.TargetLoad{one("t0")}})
+	b.SetPeerLoads("early", []shelfshelf.TargetLoad{one("t0")})
+	b.ApplyDigest(shelfshelf.Digest{DataCentre: "b", Loads: []shelfshelf.TargetLoad{one("t0")}})
 	b.SetTargets(engines(4, local, local))
 	reported := func() int {
 		_, sum, _ := b.Capacity(shelfshelf.KeyOfTarget("t1"))
@@ -350,13 +350,13 @@
 		{one("unknown"), one("t1"), one("t0")},
 		{one("t0"), one("unknown")},
 	} {
-		b.Heard("other", loads)
-		b.HeardCentre(shelfshelf.Digest{DataCentre: "b", Loads: loads})
+		b.SetPeerLoads("other", loads)
+		b.ApplyDigest(shelfshelf.Digest{DataCentre: "b", Loads: loads})
 		if got := reported(); got != []int{0, 2, 0}[want] {
 			t.Errorf("report %d: %d requests at t1", want, got)
 		}
 	}
-	b.Heard("other", []shelfshelf.TargetLoad{one("t1")})
+	b.SetPeerLoads("other", []shelfshelf.TargetLoad{one("t1")})
 	b.SetTargets(engines(4, local, local))
 	if got := reported(); got != 1 {
 		t.Errorf("%d requests after a change of targets", got)
@@ -373,7 +373,7 @@
 		loads[i] = shelfshelf.TargetLoad{Target: shelfshelf.KeyOfTarget(shelfshelf.TargetName(fmt.Sprint("t", 100*i))), Requests: 1}
 	}
 	for i := 0; b.Loop(); i++ {
-		balancer.Heard(shelfshelf.InstanceID(fmt.Sprint("i", i%60)), loads)
+		balancer.SetPeerLoads(shelfshelf.InstanceID(fmt.Sprint("i", i%60)), loads)
 	}
 }
 
@@ -385,7 +385,7 @@
 	digest := shelfshelf.Digest{DataCentre: "b", Loads: []shelfshelf.TargetLoad{
 		{Target: shelfshelf.KeyOfTarget("unknown here"), Requests: 5}, {Target: shelfshelf.KeyOfTarget("t0"), Requests: 1},
 	}}
-	b.HeardCentre(digest)
+	b.ApplyDigest(digest)
 	if digest.Loads[0].Requests != 5 || digest.Loads[1].Requests != 1 {
 		t.Errorf("%+v", digest.Loads)
 	}
--- a/balance/choose.go
+++ b/balance/choose.go
@@ -76,9 +76,9 @@
 // must hold b.mu.
 func (b *Balancer) grantWithoutOwner(p *pool, t *targetState, need Need, now time.Time) *Lease {
 	lease := b.grant(p, t, need, now)
-	if b.Places != nil && t.engine {
-		lease.Alone = true
-		lease.grantID = b.Places.Took(t.key, t.target.DataCentre)
+	if b.SlotOwners != nil && t.engine {
+		lease.WithoutOwner = true
+		lease.grantID = b.SlotOwners.RecordLocalGrant(t.key, t.target.DataCentre)
 	}
 	return lease
 }
@@ -91,13 +91,13 @@
 
 // availableAt returns when the target accepts requests again, as far as is known.
 func (t *targetState) availableAt() time.Time {
-	return shelfshelf.Later(t.backoffUntil, shelfshelf.Later(t.askOwnerAfter, t.announcement.RestUntil))
+	return shelfshelf.Later(t.backoffUntil, shelfshelf.Later(t.askOwnerAfter, t.announcement.BackoffUntil))
 }
 
 // eligible reports whether a target may serve this request, now or later.
 func (t *targetState) eligible(need Need) bool {
-	allowedRegion := need.Homes == nil || need.Homes.Allows(t.region)
-	return allowedRegion && !t.evacuated && !t.target.Leaving && !slices.Contains(need.Avoid, t.target.Name) && allowed(need.choice, t)
+	allowedRegion := need.AllowedRegions == nil || need.AllowedRegions.Allows(t.region)
+	return allowedRegion && !t.evacuated && !t.target.Leaving && !slices.Contains(need.ExcludedTargets, t.target.Name) && allowed(need.choice, t)
 }
 
 // assignable reports whether a target may get this request now without asking its owner. It is
@@ -115,9 +115,9 @@
 // seed, with and without queuing).
 func (t *targetState) slotLimit(need Need) int {
 	if t.engine {
-		return t.slots - shelfshelf.ReservedPlaces(t.slots, need.Tier, need.Begun)
+		return t.slots - shelfshelf.ReservedSlots(t.slots, need.Tier, need.Started)
 	}
-	rounds := min(safeGoalShare*float64(need.Goal)/float64(t.callTime()), maxQueueRounds)
+	rounds := min(safeGoalShare*float64(need.LatencyGoal)/float64(t.callTime()), maxQueueRounds)
 	return max(t.slots, int(rounds*float64(t.slots)))
 }
 
@@ -127,17 +127,17 @@
 	requests := t.load(now).requests
 	uncached := b.uncachedTokens(t, need, now)
 	expected := b.expect(p, t, uncached, now)
-	cost := expected + latenessPenalty(expected, need.Goal)
+	cost := expected + latenessPenalty(expected, need.LatencyGoal)
 	cost += time.Duration(t.failureShare(now) * float64(failurePenalty))
 	cost += time.Duration(requests) * inFlightPenalty
 	if t.target.DataCentre != b.DataCentre {
-		cost += time.Duration(remotePenaltyShare * float64(need.Goal))
+		cost += time.Duration(remotePenaltyShare * float64(need.LatencyGoal))
 	}
 	if p.spec.Engine == nil {
 		return cost
 	}
 	if p.tooSlow(t, need, uncached, now) {
-		cost += need.Goal
+		cost += need.LatencyGoal
 	}
 	return cost + b.instanceBias(t)
 }
@@ -269,7 +269,7 @@
 	t.local = t.local.add(load{requests: 1, prefilling: 1, prefillTokens: uncached})
 	t.ownerLoad++
 	if b.Rollouts != nil {
-		b.Rollouts.Began(t.target)
+		b.Rollouts.RequestStarted(t.target)
 	}
 	for _, part := range need.Prompt {
 		b.prefixes.add(now, part.ID, t.target.Name)
--- a/balance/cold.go
+++ b/balance/cold.go
@@ -13,10 +13,10 @@
 
 // ColdState is what is known of a target that may turn cold.
 type ColdState struct {
-	// Bears is how many requests per second the target can take while cold; 0 if it never is cold.
-	Bears float64
-	// Suspected says that the target may be cold now, as far as this instance knows.
-	Suspected bool
+	// RequestRate is how many requests per second the target can take while cold; 0 if it never is cold.
+	RequestRate float64
+	// MaybeCold says that the target may be cold now, as far as this instance knows.
+	MaybeCold bool
 }
 
 // ownerOnly reports whether only owners may grant the slots of a target: it has announced a limit,
@@ -37,19 +37,19 @@
 // a start of this instance, which can't know how long the target has been running. The caller must
 // hold b.mu.
 func (b *Balancer) updateCold(t *targetState, p *pool, listed shelfshelf.Target, created bool, now time.Time) {
-	t.coldRate = p.spec.Cold.PerSecond
+	t.coldRate = p.spec.Cold.MaxRequestsPerSecond
 	if created {
 		t.markMaybeCold(p, now)
 	}
-	if listed.ColdFor > 0 && listed.ColdFor != t.target.ColdFor {
-		t.coldUntil = shelfshelf.Later(t.coldUntil, now.Add(listed.ColdFor+coldReportDelay))
+	if listed.ColdRemaining > 0 && listed.ColdRemaining != t.target.ColdRemaining {
+		t.coldUntil = shelfshelf.Later(t.coldUntil, now.Add(listed.ColdRemaining+coldReportDelay))
 	}
 }
 
 // markMaybeCold notes that a target may have just turned cold.
 func (t *targetState) markMaybeCold(p *pool, now time.Time) {
 	if t.coldRate > 0 {
-		t.coldUntil = shelfshelf.Later(t.coldUntil, now.Add(p.spec.Cold.Time+coldReportDelay))
+		t.coldUntil = shelfshelf.Later(t.coldUntil, now.Add(p.spec.Cold.Duration+coldReportDelay))
 	}
 }
 
@@ -61,13 +61,13 @@
 	}
 }
 
-// Cold returns what is known of a target that may turn cold.
-func (b *Balancer) Cold(key shelfshelf.TargetKey) ColdState {
+// ColdState returns what is known of a target that may turn cold.
+func (b *Balancer) ColdState(key shelfshelf.TargetKey) ColdState {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t := b.targetsByKey[key]
 	if t == nil {
 		return ColdState{}
 	}
-	return ColdState{Bears: t.coldRate, Suspected: t.maybeCold(b.Clock.Now())}
+	return ColdState{RequestRate: t.coldRate, MaybeCold: t.maybeCold(b.Clock.Now())}
 }
--- a/balance/fleet.go
+++ b/balance/fleet.go
@@ -8,8 +8,8 @@
 
 // Fleet is what a balancer needs to know about the other instances.
 type Fleet interface {
-	// SpreadTime is how long it takes until others know what has happened here.
-	SpreadTime() time.Duration
+	// PropagationDelay is how long it takes until others know what has happened here.
+	PropagationDelay() time.Duration
 }
 
 // fleetState is the last known state of the fleet.
@@ -24,5 +24,5 @@
 		return
 	}
 	b.fleetState.at = now
-	b.fleetState.staleness = b.Fleet.SpreadTime()
+	b.fleetState.staleness = b.Fleet.PropagationDelay()
 }
--- a/balance/lease.go
+++ b/balance/lease.go
@@ -21,10 +21,10 @@
 	// InFlight is the estimate of requests that all instances had in flight at the target before
 	// this one.
 	InFlight int
-	// Asked is how many owners were asked for a slot. Alone says that no owner granted the slot:
+	// OwnersAsked is how many owners were asked for a slot. Alone says that no owner granted the slot:
 	// this instance took it by its own view of the load.
-	Asked int
-	Alone bool
+	OwnersAsked int
+	WithoutOwner bool
 
 	balancer *Balancer
 	state    *targetState
@@ -38,7 +38,7 @@
 	grantedAt     time.Time
 	firstTokenAt  time.Time
 	// grantID identifies the slot to the owner; zero if no owner was involved.
-	grantID shelfshelf.PlaceID
+	grantID shelfshelf.SlotID
 }
 
 // Result is the outcome of a request at its target.
@@ -47,15 +47,15 @@
 	Failed bool
 	// Unreachable says that the target could not be reached or stopped responding.
 	Unreachable bool
-	// Gone says that another target now answers at its address.
-	Gone bool
+	// AddressReused says that another target now answers at its address.
+	AddressReused bool
 	// Events is how many events a stream had.
 	Events int
 	// Unsent says that the request did not reach the target, NotRun that the target reported not to
 	// have run it, and Left that the caller disconnected first.
 	Unsent bool
 	NotRun bool
-	Left   bool
+	CallerDisconnected   bool
 }
 
 // FirstToken notes that the first token has arrived, so that the target has prefilled the prompt.
@@ -110,7 +110,7 @@
 	b.release(l, result, unused)
 	b.mu.Unlock()
 	if l.grantID != 0 {
-		b.Places.Give(l.grantID, result.Unreachable)
+		b.SlotOwners.Release(l.grantID, result.Unreachable)
 	}
 }
 
@@ -124,7 +124,7 @@
 	if !unused {
 		l.state.recordResult(now, result.Failed)
 		switch {
-		case result.Gone:
+		case result.AddressReused:
 			l.state.backOffReusedAddress(now)
 		case result.Unreachable:
 			l.state.backOff(now)
--- a/balance/loads.go
+++ b/balance/loads.go
@@ -7,8 +7,8 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-// Own returns the load of this instance for its next status, and records it as reported.
-func (b *Balancer) Own() []shelfshelf.TargetLoad {
+// LocalLoads returns the load of this instance for its next status, and records it as reported.
+func (b *Balancer) LocalLoads() []shelfshelf.TargetLoad {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var loads []shelfshelf.TargetLoad
@@ -21,8 +21,8 @@
 	return loads
 }
 
-// Centre returns the load of all instances of this data centre.
-func (b *Balancer) Centre() []shelfshelf.TargetLoad {
+// DataCentreLoads returns the load of all instances of this data centre.
+func (b *Balancer) DataCentreLoads() []shelfshelf.TargetLoad {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.Clock.Now()
@@ -35,8 +35,8 @@
 	return loads
 }
 
-// Heard handles the load that another instance of this data centre reports in its status.
-func (b *Balancer) Heard(from shelfshelf.InstanceID, loads []shelfshelf.TargetLoad) {
+// SetPeerLoads handles the load that another instance of this data centre reports in its status.
+func (b *Balancer) SetPeerLoads(from shelfshelf.InstanceID, loads []shelfshelf.TargetLoad) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.Clock.Now()
@@ -54,8 +54,8 @@
 	b.dispatchAll(now)
 }
 
-// HeardCentre handles the loads and speeds in the digest of a data centre.
-func (b *Balancer) HeardCentre(digest shelfshelf.Digest) {
+// ApplyDigest handles the loads and speeds in the digest of a data centre.
+func (b *Balancer) ApplyDigest(digest shelfshelf.Digest) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.Clock.Now()
--- a/balance/owner_only.go
+++ b/balance/owner_only.go
@@ -18,10 +18,10 @@
 )
 
 // hasLimit reports whether the target has announced a limit, as far as this instance knows.
-func (t *targetState) hasLimit() bool { return t.announcement.Limit.Named }
+func (t *targetState) hasLimit() bool { return t.announcement.Limit.Set }
 
-// WordChanged reloads what a target has announced about itself.
-func (b *Balancer) WordChanged(key shelfshelf.TargetKey) {
+// AnnouncementChanged reloads what a target has announced about itself.
+func (b *Balancer) AnnouncementChanged(key shelfshelf.TargetKey) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t := b.targetsByKey[key]
@@ -37,7 +37,7 @@
 	if t.announcement.Leaving && !before.Leaving {
 		p.replaceListed(t)
 	}
-	if before.Limit.Named && !t.hasLimit() {
+	if before.Limit.Set && !t.hasLimit() {
 		b.dispatch(p, b.Clock.Now())
 	}
 }
@@ -54,10 +54,10 @@
 
 // loadAnnouncement reads what a target has announced about itself. The caller must hold b.mu.
 func (b *Balancer) loadAnnouncement(t *targetState) {
-	if b.Announced == nil {
+	if b.Announcements == nil {
 		return
 	}
-	t.announcement = b.Announced.Said(t.key)
+	t.announcement = b.Announcements.Latest(t.key)
 	// The target's entry may show the leaving later than its answers do, or never if the store is
 	// unavailable.
 	t.target.Leaving = t.target.Leaving || t.announcement.Leaving
@@ -66,8 +66,8 @@
 	}
 }
 
-// Where returns the data centre of a target; false if the target is unknown.
-func (b *Balancer) Where(key shelfshelf.TargetKey) (shelfshelf.DataCentre, bool) {
+// DataCentreOf returns the data centre of a target; false if the target is unknown.
+func (b *Balancer) DataCentreOf(key shelfshelf.TargetKey) (shelfshelf.DataCentre, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if t := b.targetsByKey[key]; t != nil {
@@ -121,7 +121,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := b.pools[a.need.Pool]
-	if p == nil || b.Places == nil {
+	if p == nil || b.SlotOwners == nil {
 		return false, false
 	}
 	all = true
@@ -157,7 +157,7 @@
 // requests per second, each of 36 instances observes the target only every 24 s, so a single slow
 // answer would keep the target below its limit for long (it got 2 to 4 of 12 requests, simulated).
 func (a *ownerAcquisition) chooseIfOwnerOnly() *targetState {
-	safe := time.Duration(safeGoalShare * float64(a.need.Goal))
+	safe := time.Duration(safeGoalShare * float64(a.need.LatencyGoal))
 	best := a.chooseBest(func(t *targetState, now time.Time) bool {
 		b := a.balancer
 		return t.ownerOnly() && !slices.Contains(a.tried, t) && b.cost(b.pools[a.need.Pool], t, a.need, now) <= safe
@@ -241,9 +241,9 @@
 
 // skipUnresponsiveOwner withdraws a slot request for an owner-only target whose owner doesn't
 // answer, and does not ask that owner again for unresponsiveOwnerBackoff.
-func (a *ownerAcquisition) skipUnresponsiveOwner(t *targetState, id shelfshelf.PlaceID) *Lease {
+func (a *ownerAcquisition) skipUnresponsiveOwner(t *targetState, id shelfshelf.SlotID) *Lease {
 	a.unavailable++
-	a.balancer.Places.Leave(id, false)
+	a.balancer.SlotOwners.Withdraw(id, false)
 	a.balancer.recordBackoff(t, unresponsiveOwnerBackoff)
 	return nil
 }
--- a/balance/owners.go
+++ b/balance/owners.go
@@ -25,14 +25,14 @@
 type ownerAcquisition struct {
 	balancer *Balancer
 	need     Need
-	granted  chan shelfshelf.PlaceID
+	granted  chan shelfshelf.SlotID
 	tried    []*targetState
 	// nextRequest is the slot request for the owner of the engine chosen last. It is built when the
 	// engine is chosen, since the engine's entry may be replaced while its owner is asked.
-	nextRequest shelfshelf.PlaceAsk
+	nextRequest shelfshelf.SlotRequest
 	// queuedRequests maps the slot requests that wait in the queue of an owner to their targets.
 	// Those of owners that have not answered yet are included, whether they are queued or not.
-	queuedRequests map[shelfshelf.PlaceID]*targetState
+	queuedRequests map[shelfshelf.SlotID]*targetState
 	// answered counts the owners that granted a slot or queued the request, unavailable the engines
 	// that accept nothing at the moment.
 	answered    int
@@ -43,8 +43,8 @@
 	return &ownerAcquisition{
 		balancer:       b,
 		need:           need,
-		granted:        make(chan shelfshelf.PlaceID, maxSlotRequests),
-		queuedRequests: make(map[shelfshelf.PlaceID]*targetState),
+		granted:        make(chan shelfshelf.SlotID, maxSlotRequests),
+		queuedRequests: make(map[shelfshelf.SlotID]*targetState),
 	}
 }
 
@@ -73,7 +73,7 @@
 		// No owner has answered: decide by this instance's own view of the load.
 		lease, err := b.acquireLocally(ctx, need)
 		if err == nil {
-			lease.Asked = len(a.tried)
+			lease.OwnersAsked = len(a.tried)
 		}
 		return lease, err
 	}
@@ -116,16 +116,16 @@
 		return t.available(a.need, now) && fits(t, now)
 	})
 	if best != nil {
-		a.nextRequest = shelfshelf.PlaceAsk{
+		a.nextRequest = shelfshelf.SlotRequest{
 			Target:     best.key,
 			DataCentre: best.target.DataCentre,
-			Begun:      a.need.Begun,
+			Started:      a.need.Started,
 			Rank:       a.need.Rank,
 			Tier:       a.need.Tier,
-			Stay:       p.expectHoldTime(best, a.need, b.uncachedTokens(best, a.need, now), now),
-			Wait:       max(a.need.WaitUntil.Sub(now), 0),
-			Said:       best.announcement,
-			Strict:     best.primaryOwnerOnly(now),
+			HoldTime:       p.expectHoldTime(best, a.need, b.uncachedTokens(best, a.need, now), now),
+			MaxWait:       max(a.need.WaitUntil.Sub(now), 0),
+			Announcement:       best.announcement,
+			PrimaryOwnerOnly:     best.primaryOwnerOnly(now),
 		}
 	}
 	return best
@@ -135,30 +135,30 @@
 // decides by its own view of the load.
 func (a *ownerAcquisition) requestSlot(ctx context.Context, t *targetState) *Lease {
 	b := a.balancer
-	answer := b.Places.Ask(ctx, a.nextRequest, a.granted)
+	answer := b.SlotOwners.Request(ctx, a.nextRequest, a.granted)
 	switch answer.Outcome {
-	case shelfshelf.PlaceGranted:
+	case shelfshelf.SlotGranted:
 		a.answered++
-		b.recordOwnerLoad(t, answer.Requests-1)
+		b.recordOwnerLoad(t, answer.InUse-1)
 		return a.acceptGrant(t, answer.ID)
-	case shelfshelf.PlaceWaits:
+	case shelfshelf.SlotQueued:
 		a.answered++
-		b.recordOwnerLoad(t, answer.Requests)
+		b.recordOwnerLoad(t, answer.InUse)
 		a.queuedRequests[answer.ID] = t
 		return nil
-	case shelfshelf.PlaceUnanswered:
-		if a.nextRequest.Strict {
+	case shelfshelf.SlotPending:
+		if a.nextRequest.PrimaryOwnerOnly {
 			return a.skipUnresponsiveOwner(t, answer.ID)
 		}
 		a.queuedRequests[answer.ID] = t
 		return nil
-	case shelfshelf.PlaceRests:
+	case shelfshelf.SlotUnavailable:
 		// The slot request is in no queue and doesn't count as answered. If it did, a request that
 		// no other owner answers would wait in no queue until it is refused.
 		a.unavailable++
-		b.recordBackoff(t, answer.Rest)
+		b.recordBackoff(t, answer.RetryAfter)
 		return nil
-	case shelfshelf.PlaceUnknown:
+	case shelfshelf.SlotNoOwner:
 		if t.ownerOnly() {
 			return a.skipUnresponsiveOwner(t, answer.ID)
 		}
@@ -178,25 +178,25 @@
 		return nil
 	}
 	lease := b.grantWithoutOwner(p, t, a.need, now)
-	lease.Asked = len(a.tried)
+	lease.OwnersAsked = len(a.tried)
 	return lease
 }
 
 // acceptGrant turns a granted slot into a lease, or returns the slot if the engine can no longer
 // serve the request.
-func (a *ownerAcquisition) acceptGrant(t *targetState, id shelfshelf.PlaceID) *Lease {
+func (a *ownerAcquisition) acceptGrant(t *targetState, id shelfshelf.SlotID) *Lease {
 	b := a.balancer
 	b.mu.Lock()
 	now := b.Clock.Now()
 	p := b.pools[a.need.Pool]
 	if p == nil || b.targets[t.target.Name] != t || !t.available(a.need, now) {
 		b.mu.Unlock()
-		b.Places.Give(id, false)
+		b.SlotOwners.Release(id, false)
 		return nil
 	}
 	lease := b.grant(p, t, a.need, now)
 	lease.grantID = id
-	lease.Asked = len(a.tried)
+	lease.OwnersAsked = len(a.tried)
 	b.mu.Unlock()
 	return lease
 }
@@ -240,7 +240,7 @@
 // request has got a slot.
 func (a *ownerAcquisition) withdrawAll(served bool) {
 	for id := range a.queuedRequests {
-		a.balancer.Places.Leave(id, served)
+		a.balancer.SlotOwners.Withdraw(id, served)
 	}
 }
 
--- a/balance/owners_test.go
+++ b/balance/owners_test.go
@@ -16,15 +16,15 @@
 // fakeOwners answers slot requests as the test specifies.
 type fakeOwners struct {
 	mu       sync.Mutex
-	outcomes map[shelfshelf.TargetKey]shelfshelf.PlaceOutcome
+	outcomes map[shelfshelf.TargetKey]shelfshelf.SlotOutcome
 	asked    []shelfshelf.TargetKey
 	// holdTimes are the hold times given in the slot requests.
 	holdTimes []time.Duration
 	grants    map[shelfshelf.TargetKey]func()
 	// grantOther sends a grant with another ID to the sender of the latest slot request.
-	grantOther func(shelfshelf.PlaceID)
-	open       map[shelfshelf.PlaceID]bool
-	lastID     shelfshelf.PlaceID
+	grantOther func(shelfshelf.SlotID)
+	open       map[shelfshelf.SlotID]bool
+	lastID     shelfshelf.SlotID
 	// backoff is the backoff that owners report for unavailable engines.
 	backoff time.Duration
 	// timeout is how long a slot request takes that nobody answers.
@@ -33,9 +33,9 @@
 
 func newFakeOwners() *fakeOwners {
 	return &fakeOwners{
-		outcomes: make(map[shelfshelf.TargetKey]shelfshelf.PlaceOutcome),
+		outcomes: make(map[shelfshelf.TargetKey]shelfshelf.SlotOutcome),
 		grants:   make(map[shelfshelf.TargetKey]func()),
-		open:     make(map[shelfshelf.PlaceID]bool),
+		open:     make(map[shelfshelf.SlotID]bool),
 	}
 }
 
@@ -44,29 +44,29 @@
 func newBalancerWithOwners(slots int, centres ...shelfshelf.DataCentre) (*balance.Balancer, *fakeOwners) {
 	b := newBalancer(slots, centres...)
 	o := newFakeOwners()
-	b.Places = o
+	b.SlotOwners = o
 	return b, o
 }
 
-func (o *fakeOwners) Ask(_ context.Context, request shelfshelf.PlaceAsk, granted chan<- shelfshelf.PlaceID) shelfshelf.PlaceAnswer {
+func (o *fakeOwners) Request(_ context.Context, request shelfshelf.SlotRequest, granted chan<- shelfshelf.SlotID) shelfshelf.SlotResponse {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.asked = append(o.asked, request.Target)
-	o.holdTimes = append(o.holdTimes, request.Stay)
+	o.holdTimes = append(o.holdTimes, request.HoldTime)
 	outcome := o.outcomes[request.Target]
-	if outcome == shelfshelf.PlaceUnknown {
+	if outcome == shelfshelf.SlotNoOwner {
 		time.Sleep(o.timeout)
-		return shelfshelf.PlaceAnswer{}
+		return shelfshelf.SlotResponse{}
 	}
 	o.lastID++
 	id := o.lastID
 	o.open[id] = true
-	o.grantOther = func(other shelfshelf.PlaceID) { granted <- other }
+	o.grantOther = func(other shelfshelf.SlotID) { granted <- other }
 	o.grants[request.Target] = func() { granted <- id }
-	return shelfshelf.PlaceAnswer{ID: id, Outcome: outcome, Requests: 1, Rest: o.backoff}
+	return shelfshelf.SlotResponse{ID: id, Outcome: outcome, InUse: 1, RetryAfter: o.backoff}
 }
 
-func (o *fakeOwners) Took(shelfshelf.TargetKey, shelfshelf.DataCentre) shelfshelf.PlaceID {
+func (o *fakeOwners) RecordLocalGrant(shelfshelf.TargetKey, shelfshelf.DataCentre) shelfshelf.SlotID {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.lastID++
@@ -74,14 +74,14 @@
 	return o.lastID
 }
 
-func (o *fakeOwners) Give(id shelfshelf.PlaceID, _ bool) {
+func (o *fakeOwners) Release(id shelfshelf.SlotID, _ bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.open, id)
 }
 
-func (o *fakeOwners) Leave(id shelfshelf.PlaceID, _ bool) {
-	o.Give(id, false)
+func (o *fakeOwners) Withdraw(id shelfshelf.SlotID, _ bool) {
+	o.Release(id, false)
 }
 
 // grantQueued grants the slot request that is queued at an engine.
@@ -93,7 +93,7 @@
 }
 
 // grantUnrequested sends the sender of the latest slot request a grant that it didn't request.
-func (o *fakeOwners) grantUnrequested(id shelfshelf.PlaceID) {
+func (o *fakeOwners) grantUnrequested(id shelfshelf.SlotID) {
 	o.mu.Lock()
 	grant := o.grantOther
 	o.mu.Unlock()
@@ -107,7 +107,7 @@
 	return len(o.open)
 }
 
-func (o *fakeOwners) setOutcome(target string, outcome shelfshelf.PlaceOutcome) {
+func (o *fakeOwners) setOutcome(target string, outcome shelfshelf.SlotOutcome) {
 	o.outcomes[shelfshelf.KeyOfTarget(shelfshelf.TargetName(target))] = outcome
 }
 
@@ -115,7 +115,7 @@
 // answer.
 func TestSlotRequestsIncludeHoldTime(t *testing.T) {
 	b, o := newBalancerWithOwners(4, local)
-	o.setOutcome("t0", shelfshelf.PlaceGranted)
+	o.setOutcome("t0", shelfshelf.SlotGranted)
 	for _, sizes := range [][2]int{{100, 10}, {5000, 10}, {100, 1000}} {
 		n := need("x", time.Second)
 		n.PromptTokens, n.OutputTokens = sizes[0], sizes[1]
@@ -132,7 +132,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b, o := newBalancerWithOwners(4, local, local, local)
 		for _, target := range []string{"t0", "t1", "t2"} {
-			o.setOutcome(target, shelfshelf.PlaceWaits)
+			o.setOutcome(target, shelfshelf.SlotQueued)
 		}
 		time.AfterFunc(50*time.Millisecond, func() { o.grantQueued("t1") })
 		began := time.Now()
@@ -162,8 +162,8 @@
 func TestInstanceDecidesWithoutOwners(t *testing.T) {
 	b, o := newBalancerWithOwners(2, local)
 	for i := range 2 {
-		if lease := acquire(t, b, need(fmt.Sprint(i), 0)); !lease.Alone || lease.Asked != 1 {
-			t.Errorf("alone %v after %d slot requests", lease.Alone, lease.Asked)
+		if lease := acquire(t, b, need(fmt.Sprint(i), 0)); !lease.WithoutOwner || lease.OwnersAsked != 1 {
+			t.Errorf("alone %v after %d slot requests", lease.WithoutOwner, lease.OwnersAsked)
 		}
 	}
 	if o.countOpen() != 2 || len(o.asked) != 2 {
@@ -178,7 +178,7 @@
 func TestSlotsAtLeavingEnginesAreReturned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b, o := newBalancerWithOwners(4, local)
-		o.setOutcome("t0", shelfshelf.PlaceWaits)
+		o.setOutcome("t0", shelfshelf.SlotQueued)
 		time.AfterFunc(10*time.Millisecond, func() {
 			pools, targets := engines(4, local)
 			targets[0].Leaving = true
@@ -204,9 +204,9 @@
 		for i := range rounds {
 			for tier := range shelfshelf.Tier(3) {
 				// Two of five requests of the middle tier find no slot; the others always do.
-				o.setOutcome("t0", shelfshelf.PlaceGranted)
+				o.setOutcome("t0", shelfshelf.SlotGranted)
 				if tier == 1 && i%5 < 2 {
-					o.setOutcome("t0", shelfshelf.PlaceWaits)
+					o.setOutcome("t0", shelfshelf.SlotQueued)
 				}
 				n := need(fmt.Sprint(i), 0)
 				n.Tier = tier
@@ -231,14 +231,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		b, o := newBalancerWithOwners(4, local)
 		for i := range 400 {
-			o.setOutcome("t0", shelfshelf.PlaceGranted)
+			o.setOutcome("t0", shelfshelf.SlotGranted)
 			if i%50 == 0 {
-				o.setOutcome("t0", shelfshelf.PlaceWaits)
+				o.setOutcome("t0", shelfshelf.SlotQueued)
 			}
 			if lease, err := b.Acquire(context.Background(), need(fmt.Sprint(i), 0)); err == nil {
 				lease.Release(balance.Result{})
 			}
-			o.setOutcome("t0", shelfshelf.PlaceGranted)
+			o.setOutcome("t0", shelfshelf.SlotGranted)
 			low := need(fmt.Sprint("low", i), 0)
 			low.Tier = 1
 			lease, err := b.Acquire(context.Background(), low)
@@ -255,8 +255,8 @@
 func TestGrantsOfWithdrawnRequestsAreIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b, o := newBalancerWithOwners(4, local, local)
-		o.setOutcome("t0", shelfshelf.PlaceWaits)
-		o.setOutcome("t1", shelfshelf.PlaceWaits)
+		o.setOutcome("t0", shelfshelf.SlotQueued)
+		o.setOutcome("t1", shelfshelf.SlotQueued)
 		time.AfterFunc(10*time.Millisecond, func() { o.grantUnrequested(99) })
 		var refusal *balance.Refusal
 		if _, err := b.Acquire(context.Background(), need("x", 50*time.Millisecond)); !errors.As(err, &refusal) {
@@ -276,7 +276,7 @@
 		}
 		o := newFakeOwners()
 		o.timeout = 80 * time.Millisecond
-		b.Places = o
+		b.SlotOwners = o
 		began := time.Now()
 		if _, err := b.Acquire(context.Background(), need("x", 170*time.Millisecond)); err == nil {
 			t.Error("a slot was granted")
@@ -291,8 +291,8 @@
 func TestLateGrantsAreAccepted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b, o := newBalancerWithOwners(4, local, local)
-		o.setOutcome("t0", shelfshelf.PlaceUnanswered)
-		o.setOutcome("t1", shelfshelf.PlaceWaits)
+		o.setOutcome("t0", shelfshelf.SlotPending)
+		o.setOutcome("t1", shelfshelf.SlotQueued)
 		time.AfterFunc(50*time.Millisecond, func() { o.grantQueued("t0") })
 		began := time.Now()
 		lease := acquire(t, b, need("x", time.Second))
@@ -310,11 +310,11 @@
 func TestUnansweredSlotRequestsFallBackToLocalDecision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b, o := newBalancerWithOwners(4, local, local)
-		o.setOutcome("t0", shelfshelf.PlaceUnanswered)
-		o.setOutcome("t1", shelfshelf.PlaceUnanswered)
+		o.setOutcome("t0", shelfshelf.SlotPending)
+		o.setOutcome("t1", shelfshelf.SlotPending)
 		lease := acquire(t, b, need("x", time.Second))
-		if !lease.Alone || lease.Asked != 2 {
-			t.Errorf("alone %v after %d slot requests", lease.Alone, lease.Asked)
+		if !lease.WithoutOwner || lease.OwnersAsked != 2 {
+			t.Errorf("alone %v after %d slot requests", lease.WithoutOwner, lease.OwnersAsked)
 		}
 		if open := o.countOpen(); open != 1 {
 			t.Errorf("%d slots are held or requested", open)
@@ -334,12 +334,12 @@
 			// The engine that works looks worse than all others, since it is in another data
 			// centre.
 			centres[i] = local
-			o.setOutcome(fmt.Sprint("t", i), shelfshelf.PlaceRests)
+			o.setOutcome(fmt.Sprint("t", i), shelfshelf.SlotUnavailable)
 		}
 		centres[unavailable] = "b"
-		o.setOutcome(fmt.Sprint("t", unavailable), shelfshelf.PlaceGranted)
+		o.setOutcome(fmt.Sprint("t", unavailable), shelfshelf.SlotGranted)
 		b := newBalancer(4, centres...)
-		b.Places = o
+		b.SlotOwners = o
 		for i := range 2 {
 			lease := acquire(t, b, need(fmt.Sprint(i), time.Second))
 			if want := fmt.Sprint("t", unavailable); string(lease.Target.Name) != want {
@@ -357,7 +357,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b, _ := newBalancerWithOwners(4, local, local)
 		n := need("r", time.Second)
-		n.Avoid = []shelfshelf.TargetName{"t0", "t1"}
+		n.ExcludedTargets = []shelfshelf.TargetName{"t0", "t1"}
 		began := time.Now()
 		_, err := b.Acquire(t.Context(), n)
 		var refusal *balance.Refusal
@@ -378,8 +378,8 @@
 	steps := []time.Duration{1400 * time.Microsecond, 4 * time.Millisecond, 7 * time.Millisecond}
 	for i := range count {
 		name := fmt.Sprint("t", i)
-		o.setOutcome(name, shelfshelf.PlaceWaits)
-		b.HeardSpeeds([]shelfshelf.TargetSpeed{{
+		o.setOutcome(name, shelfshelf.SlotQueued)
+		b.ApplySpeeds([]shelfshelf.TargetSpeed{{
 			Target: shelfshelf.KeyOfTarget(shelfshelf.TargetName(name)), PrefillRate: 50, Step: steps[i%len(steps)],
 		}})
 	}
--- a/balance/queue.go
+++ b/balance/queue.go
@@ -51,7 +51,7 @@
 // retryAfter returns the retry delay for a refused caller. The delay is randomized: a shortage
 // lasts some seconds, and callers that all retry at the same time would cause the next one.
 func retryAfter(need Need) time.Duration {
-	after := time.Duration(retryAfterGoals * float64(need.Goal) * (retryAfterMinFactor + retryAfterJitter*rand.Float64()))
+	after := time.Duration(retryAfterGoals * float64(need.LatencyGoal) * (retryAfterMinFactor + retryAfterJitter*rand.Float64()))
 	return min(max(after, minRetryAfter), maxRetryAfter)
 }
 
@@ -106,8 +106,8 @@
 // compareNeeds orders the queue: begun requests first, then by the customer's rank, tier and
 // arrival.
 func compareNeeds(a, b Need) int {
-	if a.Begun != b.Begun {
-		if a.Begun {
+	if a.Started != b.Started {
+		if a.Started {
 			return -1
 		}
 		return 1
--- a/balance/restart_test.go
+++ b/balance/restart_test.go
@@ -26,7 +26,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := &balance.Balancer{Clock: clockwork.NewRealClock(), DataCentre: local}
 		pools, targets := engines(2, local)
-		targets[0].Born = time.UnixMilli(1000)
+		targets[0].StartedAt = time.UnixMilli(1000)
 		b.SetTargets(pools, targets)
 		first := acquire(t, b, promptNeed("r1"))
 		first.FirstToken()
@@ -34,10 +34,10 @@
 		if second.CachedTokens == 0 {
 			t.Error("the prompt that the target has just prefilled is not cached")
 		}
-		b.Heard("other", []shelfshelf.TargetLoad{{Target: shelfshelf.KeyOfTarget("t0"), Requests: 2}})
+		b.SetPeerLoads("other", []shelfshelf.TargetLoad{{Target: shelfshelf.KeyOfTarget("t0"), Requests: 2}})
 
 		later := targets[0]
-		later.Born = time.UnixMilli(2000)
+		later.StartedAt = time.UnixMilli(2000)
 		b.SetTargets(pools, []shelfshelf.Target{later})
 		first.Release(balance.Result{Failed: true, Unreachable: true})
 		third := acquire(t, b, promptNeed("r3"))
@@ -58,8 +58,8 @@
 func TestTargetsChangeWhileOwnersAreAsked(t *testing.T) {
 	t.Parallel()
 	b, owners := newBalancerWithOwners(4, local, "b")
-	owners.setOutcome("t0", shelfshelf.PlaceGranted)
-	owners.setOutcome("t1", shelfshelf.PlaceGranted)
+	owners.setOutcome("t0", shelfshelf.SlotGranted)
+	owners.setOutcome("t1", shelfshelf.SlotGranted)
 	changed := make(chan struct{})
 	go func() {
 		defer close(changed)
--- a/balance/shares.go
+++ b/balance/shares.go
@@ -25,7 +25,7 @@
 // servedShare returns the share of a tier's recent requests that were served; 1 if there were too
 // few to tell.
 func servedShare(s *decay.Share, now time.Time) float64 {
-	s.Fade(now, servedShareHalfLife)
+	s.Decay(now, servedShareHalfLife)
 	if s.Offered < minOffered || s.Offered-s.Served < minRefused {
 		return 1
 	}
@@ -48,7 +48,7 @@
 		t = &decay.Share{}
 		s.tiers[tier] = t
 	}
-	t.Fade(now, servedShareHalfLife)
+	t.Decay(now, servedShareHalfLife)
 	t.Note(served)
 }
 
@@ -75,7 +75,7 @@
 
 // exceedsTierShare reports whether a request is refused at once to keep the order of tiers.
 func (b *Balancer) exceedsTierShare(need Need) bool {
-	if need.Begun || need.Tier == 0 {
+	if need.Started || need.Tier == 0 {
 		return false
 	}
 	b.mu.Lock()
@@ -86,7 +86,7 @@
 
 // recordServed counts the outcome of a request that looked for a slot.
 func (b *Balancer) recordServed(need Need, served bool) {
-	if need.Begun {
+	if need.Started {
 		return
 	}
 	b.mu.Lock()
--- a/balance/speeds.go
+++ b/balance/speeds.go
@@ -63,9 +63,9 @@
 	return observations
 }
 
-// HeardSpeeds records observations of another instance of this data centre, as if this instance had
+// ApplySpeeds records observations of another instance of this data centre, as if this instance had
 // made them.
-func (b *Balancer) HeardSpeeds(speeds []shelfshelf.TargetSpeed) {
+func (b *Balancer) ApplySpeeds(speeds []shelfshelf.TargetSpeed) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.Clock.Now()
--- a/balance/target.go
+++ b/balance/target.go
@@ -86,7 +86,7 @@
 	// announcement is what the target has announced about itself. Until askOwnerAfter its owner is
 	// not asked: it has answered that the target gets no further request before, or has not
 	// answered at all.
-	announcement  shelfshelf.TargetWord
+	announcement  shelfshelf.TargetAnnouncement
 	askOwnerAfter time.Time
 }
 
--- a/balance/version.go
+++ b/balance/version.go
@@ -18,11 +18,11 @@
 		return nil
 	}
 	choice := b.Rollouts.Choose(need.Pool, b.listed(need.Pool))
-	if !choice.Ordered {
+	if !choice.Active {
 		return nil
 	}
-	if choice.Trial && (need.Begun || len(need.Avoid) > 0) {
-		choice = choice.Old()
+	if choice.Trial && (need.Started || len(need.ExcludedTargets) > 0) {
+		choice = choice.WithoutTrial()
 	}
 	return &choice
 }
@@ -62,10 +62,10 @@
 	switch {
 	case b.Rollouts == nil:
 	case unused || result.Unsent:
-		b.Rollouts.Unsent(l.Target)
-	case result.NotRun || result.Gone || result.Left:
+		b.Rollouts.RequestUnsent(l.Target)
+	case result.NotRun || result.AddressReused || result.CallerDisconnected:
 	default:
-		b.Rollouts.Ended(l.Target, l.attemptReport(result, b.Clock.Now()))
+		b.Rollouts.RequestEnded(l.Target, l.attemptReport(result, b.Clock.Now()))
 	}
 }
 
@@ -75,25 +75,25 @@
 func (l *Lease) attemptReport(result Result, now time.Time) shelfshelf.AttemptReport {
 	report := shelfshelf.AttemptReport{Route: l.need.Route, Failed: result.Failed}
 	if l.need.PromptTokens == 0 {
-		report.First = float64(now.Sub(l.grantedAt)) / float64(defaultCallTime)
+		report.FirstAnswerRatio = float64(now.Sub(l.grantedAt)) / float64(defaultCallTime)
 		return report
 	}
 	if l.firstTokenAt.IsZero() {
 		return report
 	}
 	prefill := time.Duration(float64(l.prefillTokens+l.tokensAhead) / defaultPrefillRate * float64(time.Millisecond))
-	report.First = float64(l.firstTokenAt.Sub(l.grantedAt)) / float64(firstTokenOverhead+prefill)
+	report.FirstAnswerRatio = float64(l.firstTokenAt.Sub(l.grantedAt)) / float64(firstTokenOverhead+prefill)
 	spec := l.balancer.engineSpec(l.need.Pool)
 	if result.Events >= minStepSampleEvents && spec != nil {
 		tokens := (result.Events - 1) * max(spec.TokensPerEvent, 1)
-		report.Pace = float64(now.Sub(l.firstTokenAt)) / float64(tokens) / float64(defaultStep)
+		report.TokenTimeRatio = float64(now.Sub(l.firstTokenAt)) / float64(tokens) / float64(defaultStep)
 	}
 	return report
 }
 
-// Running returns how many requests this instance has in flight at targets of a pool that run other
+// InFlightByVersion returns how many requests this instance has in flight at targets of a pool that run other
 // versions, and how many at those that run the given version.
-func (b *Balancer) Running(name shelfshelf.PoolName, version shelfshelf.TargetVersion) (others, at int) {
+func (b *Balancer) InFlightByVersion(name shelfshelf.PoolName, version shelfshelf.TargetVersion) (others, at int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := b.pools[name]
--- a/bench/sim.go
+++ b/bench/sim.go
@@ -225,8 +225,8 @@
 		Arrived:      s.now,
 		Deadline:     s.now.Add(r.route.Deadline),
 	}
-	if r.route.FirstToken > 0 {
-		r.ask.FirstTokenBy = s.now.Add(r.route.FirstToken)
+	if r.route.FirstTokenGoal > 0 {
+		r.ask.FirstTokenBy = s.now.Add(r.route.FirstTokenGoal)
 	}
 	s.ask(r)
 }
--- a/bench/target.go
+++ b/bench/target.go
@@ -271,7 +271,7 @@
 }
 
 // CachedTokens returns how much of a prompt the engine holds.
-func (t *truth) CachedTokens(name shelfshelf.TargetName, prefix []shelfshelf.PrefixMark) int {
+func (t *truth) CachedTokens(name shelfshelf.TargetName, prefix []shelfshelf.PromptPrefix) int {
 	core := t.sim.targets[name].core
 	for i := len(prefix) - 1; i >= 0; i-- {
 		if core.Holds(prefix[i].Hash) {
--- a/bundle.go
+++ b/bundle.go
@@ -15,13 +15,13 @@
 	Customers []Customer
 	Routes    []Route
 	Targets   []Target
-	// Callers limits what callers may send, if the source of the bundle sets such limits.
-	Callers CallerLimits
+	// CallerLimits limits what callers may send, if the source of the bundle sets such limits.
+	CallerLimits CallerLimits
 }
 
 // CallerLimits limit a caller's request; zero means unlimited.
 type CallerLimits struct {
-	BodyBytes int64
+	MaxBodyBytes int64
 }
 
 // Approver is a person's public signing key.
@@ -69,10 +69,10 @@
 // ColdSpec describes a cold start: for some time after its start, a target is slow and easily
 // overloaded.
 type ColdSpec struct {
-	// Time is how long a target is cold after it has started.
-	Time time.Duration
-	// PerSecond is the request rate that a cold target can handle; 0 means unlimited.
-	PerSecond float64
+	// Duration is how long a target is cold after it has started.
+	Duration time.Duration
+	// MaxRequestsPerSecond is the request rate that a cold target can handle; 0 means unlimited.
+	MaxRequestsPerSecond float64
 }
 
 // EngineSpec describes a pool's engines.
@@ -89,8 +89,8 @@
 	// second at the rate.
 	RequestBurst float64
 	TokenBurst   float64
-	// PlainTokens is the number of tokens charged for a request that declares no token count.
-	PlainTokens int
+	// DefaultRequestTokens is the number of tokens charged for a request that declares no token count.
+	DefaultRequestTokens int
 }
 
 // Customer pays for requests.
@@ -103,15 +103,15 @@
 	// Rank orders customers and takes precedence over the tiers of their routes; 0 comes first.
 	Rank   int
 	Limits Limits
-	// Homes are the allowed regions of the customer's requests.
-	Homes Homes
+	// AllowedRegions are the allowed regions of the customer's requests.
+	AllowedRegions RegionSet
 	// Routes are the routes that the customer may call; empty means all.
 	Routes []RouteName
 	// Tiers overrides the tier of a route for this customer.
 	Tiers map[RouteName]Tier
-	// Legacy maps routes of this customer that have not been migrated yet to the old address that still
+	// LegacyAddresses maps routes of this customer that have not been migrated yet to the old address that still
 	// serves them.
-	Legacy map[RouteName]string
+	LegacyAddresses map[RouteName]string
 }
 
 // RouteKind is the way in which a route is called.
@@ -140,34 +140,34 @@
 	Repeatable bool
 	// Deadline is the maximum time from the arrival of a request to the end of its response.
 	Deadline time.Duration
-	// FirstToken is the objective for the time to the first token; zero means none.
-	FirstToken time.Duration
+	// FirstTokenGoal is the objective for the time to the first token; zero means none.
+	FirstTokenGoal time.Duration
 	// ObjectiveShare is the share of requests, from 0 to 1, that must be answered in time.
 	ObjectiveShare float64
 	// MaxPromptTokens and MaxOutputTokens limit a single request, in tokens.
 	MaxPromptTokens int
 	MaxOutputTokens int
 	Limits          Limits
-	// Legacy is the old address that serves the whole route until it is migrated.
-	Legacy string
+	// LegacyAddress is the old address that serves the whole route until it is migrated.
+	LegacyAddress string
 	// Host and PathPrefix match a route by its host; the longest prefix wins.
 	Host       string
 	PathPrefix string
-	// Shares splits the route's requests between pools by weight; if empty, all go to Pool.
-	Shares []PoolShare
-	// Goal is the latency objective of the response, or of the first event of a stream. A later
+	// PoolShares splits the route's requests between pools by weight; if empty, all go to Pool.
+	PoolShares []PoolShare
+	// LatencyGoal is the latency objective of the response, or of the first event of a stream. A later
 	// response counts less than its full value.
-	Goal time.Duration
-	// EventGap is the longest gap between two events with which a stream still counts as in time.
-	EventGap time.Duration
+	LatencyGoal time.Duration
+	// MaxEventGap is the longest gap between two events with which a stream still counts as in time.
+	MaxEventGap time.Duration
 	// MaxAttempts is the maximum number of targets that one request may be sent to.
 	MaxAttempts int
 	// Public is set if callers need no key.
 	Public bool
 	// Resumable is set if a broken stream may be resumed at another target.
 	Resumable bool
-	// Homes are the allowed regions of the route's requests. Those of the customer apply as well.
-	Homes Homes
+	// AllowedRegions are the allowed regions of the route's requests. Those of the customer apply as well.
+	AllowedRegions RegionSet
 }
 
 // PoolShare is the weight of one pool in a route.
@@ -186,12 +186,12 @@
 	Address string
 	// Leaving is set if the target is shutting down and gets no new requests.
 	Leaving bool
-	// Born is the start time of the target's process by its own clock; zero if it is not reported.
-	Born time.Time
+	// StartedAt is the start time of the target's process by its own clock; zero if it is not reported.
+	StartedAt time.Time
 	// Version is the version of the software that the target runs; empty if it is not reported.
 	Version TargetVersion
-	// ColdFor is the remaining time of the target's cold start when the target wrote its entry.
-	ColdFor time.Duration
+	// ColdRemaining is the remaining time of the target's cold start when the target wrote its entry.
+	ColdRemaining time.Duration
 	// Slots is the number of requests that the target processes concurrently.
 	Slots int
 	// PrefillRate is the declared prefill speed, in prompt tokens per second.
@@ -200,18 +200,18 @@
 	StepTime time.Duration
 	// CacheTokens is the size of the prefix cache, in tokens.
 	CacheTokens int
-	// Generation is the hardware generation.
-	Generation string
-	// ChecksFences is set if the target rejects requests that carry an outdated fencing token (epoch).
-	ChecksFences bool
+	// HardwareGeneration is the hardware generation.
+	HardwareGeneration string
+	// ChecksFencingToken is set if the target rejects requests that carry an outdated fencing token (epoch).
+	ChecksFencingToken bool
 	// Shared is set if senders outside this system use the target too.
 	Shared bool
 }
 
-// SameLife reports whether two entries of a target may come from the same process: their start times
+// SameIncarnation reports whether two entries of a target may come from the same process: their start times
 // are equal, or one of them is not reported.
-func (t Target) SameLife(other Target) bool {
-	return t.Born.IsZero() || other.Born.IsZero() || t.Born.Equal(other.Born)
+func (t Target) SameIncarnation(other Target) bool {
+	return t.StartedAt.IsZero() || other.StartedAt.IsZero() || t.StartedAt.Equal(other.StartedAt)
 }
 
 // Head identifies the bundle in force.
--- a/bundle/codec.go
+++ b/bundle/codec.go
@@ -173,7 +173,7 @@
 		Weight: orDefault(w.Weight, defaultWeight),
 		Limits: w.Limits.domain(),
 		Tiers:  make(map[shelfshelf.RouteName]shelfshelf.Tier, len(w.Tiers)),
-		Legacy: make(map[shelfshelf.RouteName]string, len(w.Legacy)),
+		LegacyAddresses: make(map[shelfshelf.RouteName]string, len(w.Legacy)),
 	}
 	for _, hash := range w.TokenHashes {
 		customer.TokenHashes = append(customer.TokenHashes, mustHex(hash))
@@ -185,7 +185,7 @@
 		customer.Tiers[shelfshelf.RouteName(route)] = ranks[tier]
 	}
 	for route, address := range w.Legacy {
-		customer.Legacy[shelfshelf.RouteName(route)] = address
+		customer.LegacyAddresses[shelfshelf.RouteName(route)] = address
 	}
 	return customer
 }
@@ -200,12 +200,12 @@
 		Path:            w.Path,
 		Repeatable:      w.Repeatable == nil || *w.Repeatable,
 		Deadline:        duration(w.Deadline),
-		FirstToken:      duration(w.FirstToken),
+		FirstTokenGoal:      duration(w.FirstToken),
 		ObjectiveShare:  orDefault(w.ObjectiveShare, defaultObjectiveShare),
 		MaxPromptTokens: orDefault(w.MaxPromptTokens, defaultMaxPromptTokens),
 		MaxOutputTokens: orDefault(w.MaxOutputTokens, defaultMaxOutputTokens),
 		Limits:          w.Limits.domain(),
-		Legacy:          w.Legacy,
+		LegacyAddress:          w.Legacy,
 	}
 	if w.Kind == kindCompletion {
 		route.Kind = shelfshelf.RouteCompletion
@@ -225,8 +225,8 @@
 		PrefillRate:  w.PrefillRate,
 		StepTime:     duration(w.StepTime),
 		CacheTokens:  w.CacheTokens,
-		Generation:   w.Generation,
-		ChecksFences: w.ChecksFences,
+		HardwareGeneration:   w.Generation,
+		ChecksFencingToken: w.ChecksFences,
 		Shared:       w.Shared,
 	}
 }
--- a/call.go
+++ b/call.go
@@ -21,15 +21,15 @@
 	ID RequestID
 	// Key is the bearer token; empty if none was sent.
 	Key string
-	// Patience is the caller's timeout, counted from when the caller sent the request.
-	Patience time.Duration
+	// Timeout is the caller's timeout, counted from when the caller sent the request.
+	Timeout time.Duration
 	// Model is the requested model; empty for plain services.
 	Model string
 	// PromptTokens and MaxOutputTokens are the sizes that the caller declares. Counted is set if they
 	// are known; otherwise both are zero.
 	PromptTokens    int
 	MaxOutputTokens int
-	Counted         bool
+	HasTokenCounts         bool
 	// OutputHint is the caller's estimate of the response length in tokens; 0 if there is none.
 	OutputHint int
 	// Prompt lists the parts of the prompt in order.
@@ -44,49 +44,49 @@
 	Target Target
 	// Customer is the owner of the caller's key; empty on public routes.
 	Customer CustomerName
-	// Left is the time that the target has for its response.
-	Left time.Duration
+	// Timeout is the time that the target has for its response.
+	Timeout time.Duration
 	// LastEventID makes the target resume the stream after that event; empty to start from the
 	// beginning.
 	LastEventID string
 }
 
-// Answer holds the status and the decoded headers of a target's response.
-type Answer struct {
+// ResponseMetadata holds the status and the decoded headers of a target's response.
+type ResponseMetadata struct {
 	Status int
 	// ID is the request ID that the response belongs to.
 	ID RequestID
 	// NotRun is set if the target guarantees that it has not executed the call and never will.
 	NotRun bool
-	// OtherTarget is set if the responding target is not the one that the request was meant for.
-	OtherTarget bool
-	// Genuine is set if the response carries a signature of the target.
-	Genuine bool
+	// Misdirected is set if the responding target is not the one that the request was meant for.
+	Misdirected bool
+	// HasSignature is set if the response carries a signature of the target.
+	HasSignature bool
 	// Running, Waiting and Slots are the load of the target; LoadKnown is set if the target reported
 	// it.
 	Running   int
 	Waiting   int
 	Slots     int
 	LoadKnown bool
-	// Pace is the current processing time of the target relative to its usual one (1), for targets that
+	// Slowdown is the current processing time of the target relative to its usual one (1), for targets that
 	// share their machine with others; 0 if it is not reported.
-	Pace float64
+	Slowdown float64
 	// Limit is the announced rate limit. LimitUnread is the text of a limit header that could not be
 	// parsed, or else empty.
 	Limit       RateLimit
-	LimitUnread string
+	InvalidLimit string
 	// Leaving is set if the target announces that it is shutting down and wants no more requests.
 	// LeavingUnread is the text of the header if it could not be parsed.
 	Leaving       bool
-	LeavingUnread string
-	// Rest is the backoff that a target asks of this instance when it rejects a request; 0 if there is
+	InvalidLeaving string
+	// RetryAfter is the backoff that a target asks of this instance when it rejects a request; 0 if there is
 	// none. RestUnread is the text of the header if it could not be parsed.
-	Rest       time.Duration
-	RestUnread string
+	RetryAfter       time.Duration
+	InvalidRetryAfter string
 }
 
-// Announces reports whether the response announces something that concerns later requests too.
-func (a Answer) Announces() bool { return a.Limit.Named || a.Leaving || a.Rest > 0 }
+// HasAnnouncement reports whether the response announces something that concerns later requests too.
+func (a ResponseMetadata) HasAnnouncement() bool { return a.Limit.Set || a.Leaving || a.RetryAfter > 0 }
 
 // CallCodec decodes and encodes the headers of requests and responses.
 type CallCodec interface {
@@ -95,7 +95,7 @@
 	// AttemptHeader returns the request headers for one attempt at a target.
 	AttemptHeader(caller http.Header, attempt Attempt) http.Header
 	// Answer decodes the status and headers of a target's response.
-	Answer(status int, header http.Header) Answer
+	Answer(status int, header http.Header) ResponseMetadata
 	// CallerHeader returns the response headers to send to the caller, given those of the target.
 	CallerHeader(target http.Header) http.Header
 }
--- a/catalog.go
+++ b/catalog.go
@@ -16,15 +16,15 @@
 	Bundle   *Bundle
 	// Encoded is the encoding in which instances exchange the configuration.
 	Encoded []byte
-	// Flaws are the fields that can't be decoded. They don't prevent the configuration from being
+	// InvalidFields are the fields that can't be decoded. They don't prevent the configuration from being
 	// applied.
-	Flaws []Flaw
+	InvalidFields []InvalidField
 }
 
-// Flaw is a field of a configuration that can't be decoded.
-type Flaw struct {
-	// Place names the field and what it belongs to, such as "route r1: AllowedRegions".
-	Place string
+// InvalidField is a field of a configuration that can't be decoded.
+type InvalidField struct {
+	// Field names the field and what it belongs to, such as "route r1: AllowedRegions".
+	Field string
 	// Reason is the decoding error.
 	Reason error
 	// Effect describes what applies instead.
@@ -40,14 +40,14 @@
 	Rollouts []Rollout
 	// Evacuations holds the changes to the evacuated data centres.
 	Evacuations EvacuationUpdate
-	// UnreadableOrders are the rollout entries that can't be decoded.
-	UnreadableOrders []UnreadableOrder
+	// InvalidRollouts are the rollout entries that can't be decoded.
+	InvalidRollouts []InvalidRollout
 	// Cursor is the position from which the next read continues.
 	Cursor uint64
 }
 
-// UnreadableOrder is a rollout entry that can't be decoded.
-type UnreadableOrder struct {
+// InvalidRollout is a rollout entry that can't be decoded.
+type InvalidRollout struct {
 	Name string
 	// Reason is the error, including the name of the field.
 	Reason error
@@ -55,21 +55,21 @@
 
 // TargetsUpdate is the result of one read of the list of targets.
 type TargetsUpdate struct {
-	// Whole is set if Changed is the full list, not only the changes.
-	Whole   bool
+	// Full is set if Changed is the full list, not only the changes.
+	Full   bool
 	Changed []Target
 	Removed []TargetName
-	// Unreadable are the entries that don't decode to a usable target.
-	Unreadable []UnreadableTarget
+	// Invalid are the entries that don't decode to a usable target.
+	Invalid []InvalidTarget
 	// Version orders the lists: a newer list has a greater version.
 	Version uint64
 	// Cursor is the position from which the next read continues.
 	Cursor uint64
 }
 
-// UnreadableTarget is an entry of the list that doesn't decode to a usable target. Other programs write
+// InvalidTarget is an entry of the list that doesn't decode to a usable target. Other programs write
 // to the list too.
-type UnreadableTarget struct {
+type InvalidTarget struct {
 	Name TargetName
 	// Reason is the error, including the name of the field.
 	Reason error
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -53,30 +53,30 @@
 	Clock  shelfshelf.Clock
 	Log    *log.Logger
 	Source shelfshelf.CatalogSource
-	// Follow returns the age that the data must reach before this instance reads the source itself. 0
+	// ReadAge returns the age that the data must reach before this instance reads the source itself. 0
 	// means that it always reads (a regular reader); the other instances get changes from it. Nil means
 	// 0.
-	Follow func() time.Duration
-	// Begin reports whether this instance, while it has no data yet, reads the source instead of
+	ReadAge func() time.Duration
+	// MayReadAtStart reports whether this instance, while it has no data yet, reads the source instead of
 	// waiting for data from another instance. Nil means that it always does.
-	Begin func() bool
-	// Pace returns the mean interval between reads by this instance while reads fail for the first few
+	MayReadAtStart func() bool
+	// OutageReadInterval returns the mean interval between reads by this instance while reads fail for the first few
 	// instances of its data centre; 0 while they succeed. Nil means 0.
-	Pace func() time.Duration
-	// ConfirmPeriod returns how long one read waits for changes of the configuration. The data is
+	OutageReadInterval func() time.Duration
+	// PollTimeout returns how long one read waits for changes of the configuration. The data is
 	// confirmed that often, so that its age stays below twice this period. Nil means one second.
-	ConfirmPeriod func() time.Duration
-	// Changed is called, without mu held, after the configuration or the targets have changed, with
+	PollTimeout func() time.Duration
+	// OnChange is called, without mu held, after the configuration or the targets have changed, with
 	// the address of the instance that sent them, or FromSource. May be nil.
-	Changed func(from string)
-	// Returned is called, without mu held, when the source is found to have been restored from an
+	OnChange func(from string)
+	// OnRestore is called, without mu held, when the source is found to have been restored from an
 	// older copy. May be nil.
-	Returned func()
-	// Ordered is called with the rollouts that a read of the source returned. asOf is the position of
+	OnRestore func()
+	// OnRollouts is called with the rollouts that a read of the source returned. asOf is the position of
 	// the source up to which they are complete. May be nil.
-	Ordered func(rollouts []shelfshelf.Rollout, asOf uint64)
-	// Evacuations is called with the evacuation update that a read of the source returned. May be nil.
-	Evacuations func(update shelfshelf.EvacuationUpdate)
+	OnRollouts func(rollouts []shelfshelf.Rollout, asOf uint64)
+	// OnEvacuations is called with the evacuation update that a read of the source returned. May be nil.
+	OnEvacuations func(update shelfshelf.EvacuationUpdate)
 
 	mu      sync.Mutex
 	index   *Index
@@ -155,14 +155,14 @@
 	if !backoff.handleResult(ctx, err) {
 		return 0
 	}
-	for _, entry := range update.UnreadableOrders {
+	for _, entry := range update.InvalidRollouts {
 		c.Log.Warn("A rollout entry can't be decoded. It is ignored.", "entry", entry.Name, "error", entry.Reason)
 	}
-	if c.Evacuations != nil {
-		c.Evacuations(update.Evacuations)
+	if c.OnEvacuations != nil {
+		c.OnEvacuations(update.Evacuations)
 	}
-	if c.Ordered != nil {
-		c.Ordered(update.Rollouts, update.Cursor)
+	if c.OnRollouts != nil {
+		c.OnRollouts(update.Rollouts, update.Cursor)
 	}
 	c.applyConfiguration(update.Configuration, start, FromSource)
 	return update.Cursor
@@ -171,14 +171,14 @@
 // readsAsFallback reports whether this instance reads the source only because it has got no recent
 // data from other instances.
 func (c *Catalog) readsAsFallback() bool {
-	return c.Follow != nil && c.Follow() > 0
+	return c.ReadAge != nil && c.ReadAge() > 0
 }
 
 func (c *Catalog) pollTimeout() time.Duration {
-	if c.ConfirmPeriod == nil {
+	if c.PollTimeout == nil {
 		return defaultPollTimeout
 	}
-	return c.ConfirmPeriod()
+	return c.PollTimeout()
 }
 
 // waitUntilDue waits until this instance has to read the source, either as a regular reader or as a
@@ -203,7 +203,7 @@
 	if validAt.IsZero() {
 		return startCheckInterval
 	}
-	remaining := c.Follow() + slack - c.Clock.Now().Sub(validAt)
+	remaining := c.ReadAge() + slack - c.Clock.Now().Sub(validAt)
 	return min(max(remaining, startCheckInterval), takeoverCheckInterval)
 }
 
@@ -212,10 +212,10 @@
 // store that was down for 8 s got 10,000 calls. The first instance whose read succeeds sends the data to
 // the others.
 func (c *Catalog) waitForTurn(ctx context.Context, freshness func() time.Time, slack time.Duration) bool {
-	if c.Pace == nil {
+	if c.OutageReadInterval == nil {
 		return true
 	}
-	interval := c.Pace()
+	interval := c.OutageReadInterval()
 	if interval == 0 {
 		return true
 	}
@@ -230,16 +230,16 @@
 // mayReadAtStart reports whether a read may start. While this instance has no data yet, another
 // instance may be about to send it.
 func (c *Catalog) mayReadAtStart(freshness func() time.Time) bool {
-	return c.Begin == nil || !freshness().IsZero() || c.Begin()
+	return c.MayReadAtStart == nil || !freshness().IsZero() || c.MayReadAtStart()
 }
 
 // readNeeded reports whether this instance has to read the source now.
 func (c *Catalog) readNeeded(freshness func() time.Time, slack time.Duration) bool {
 	validAt := freshness()
-	if c.Follow == nil || validAt.IsZero() {
+	if c.ReadAge == nil || validAt.IsZero() {
 		return true
 	}
-	maxAge := c.Follow()
+	maxAge := c.ReadAge()
 	return maxAge == 0 || c.Clock.Now().Sub(validAt) >= maxAge+slack
 }
 
@@ -277,7 +277,7 @@
 }
 
 func (c *Catalog) targetsFreshness() time.Time {
-	_, validAt := c.TargetsKnown()
+	_, validAt := c.TargetsVersion()
 	return validAt
 }
 
@@ -302,7 +302,7 @@
 // applyConfiguration makes a newer configuration the current one, or else confirms the current one.
 // A nil configuration means that the source has none newer.
 func (c *Catalog) applyConfiguration(configuration *shelfshelf.Configuration, validAt time.Time, from string) {
-	if configuration == nil || !c.Lacks(configuration.Revision) {
+	if configuration == nil || !c.IsNewer(configuration.Revision) {
 		c.confirmIfCurrent(configuration, validAt)
 		return
 	}
@@ -319,16 +319,16 @@
 	c.index = index
 	c.configurationValidAt = validAt
 	c.mu.Unlock()
-	for _, flaw := range configuration.Flaws {
-		c.Log.Error("A configuration field can't be decoded.", "revision", configuration.Revision, "place", flaw.Place, "error", flaw.Reason, "effect", flaw.Effect)
+	for _, flaw := range configuration.InvalidFields {
+		c.Log.Error("A configuration field can't be decoded.", "revision", configuration.Revision, "place", flaw.Field, "error", flaw.Reason, "effect", flaw.Effect)
 	}
 	c.Log.Info("Applied a configuration.", "revision", configuration.Revision, "from", from,
 		"age", c.Clock.Now().Sub(validAt), "bytes", len(configuration.Encoded), "routes", len(configuration.Bundle.Routes), "customers", len(configuration.Bundle.Customers))
 	c.notify(from)
 }
 
-// Lacks reports whether a revision is newer than the current one.
-func (c *Catalog) Lacks(revision shelfshelf.Revision) bool {
+// IsNewer reports whether a revision is newer than the current one.
+func (c *Catalog) IsNewer(revision shelfshelf.Revision) bool {
 	index, _ := c.Index()
 	return index == nil || revision > index.Revision
 }
@@ -344,8 +344,8 @@
 	}
 }
 
-// Offer applies a configuration from another instance that was current at validAt.
-func (c *Catalog) Offer(encoded []byte, validAt time.Time, from string) error {
+// OfferConfiguration applies a configuration from another instance that was current at validAt.
+func (c *Catalog) OfferConfiguration(encoded []byte, validAt time.Time, from string) error {
 	configuration, err := c.Source.DecodeConfiguration(encoded)
 	if err != nil {
 		return err
@@ -354,14 +354,14 @@
 	return nil
 }
 
-// Confirm records that, according to another instance, this revision was the newest at that time.
-func (c *Catalog) Confirm(revision shelfshelf.Revision, validAt time.Time) {
+// ConfirmConfiguration records that, according to another instance, this revision was the newest at that time.
+func (c *Catalog) ConfirmConfiguration(revision shelfshelf.Revision, validAt time.Time) {
 	c.confirmIfCurrent(&shelfshelf.Configuration{Revision: revision}, validAt)
 }
 
-// HeardOf records the current revision of another instance. It reports whether the revision is higher
+// RecordRevision records the current revision of another instance. It reports whether the revision is higher
 // than all reported before and newer than the current one here.
-func (c *Catalog) HeardOf(revision shelfshelf.Revision) bool {
+func (c *Catalog) RecordRevision(revision shelfshelf.Revision) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	isNew := revision > c.newestRevision
@@ -369,8 +369,8 @@
 	return isNew && (c.index == nil || revision > c.index.Revision)
 }
 
-// Superseded reports whether another instance has reported a newer configuration than the current one.
-func (c *Catalog) Superseded() bool {
+// HasNewerRevision reports whether another instance has reported a newer configuration than the current one.
+func (c *Catalog) HasNewerRevision() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.index != nil && c.newestRevision > c.index.Revision
@@ -384,7 +384,7 @@
 }
 
 func (c *Catalog) notify(from string) {
-	if c.Changed != nil {
-		c.Changed(from)
+	if c.OnChange != nil {
+		c.OnChange(from)
 	}
 }
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -75,7 +75,7 @@
 	if s.err != nil {
 		return shelfshelf.TargetsUpdate{}, s.err
 	}
-	return shelfshelf.TargetsUpdate{Whole: true, Changed: s.targets, Version: s.version + 1, Cursor: s.version + 1}, nil
+	return shelfshelf.TargetsUpdate{Full: true, Changed: s.targets, Version: s.version + 1, Cursor: s.version + 1}, nil
 }
 
 func (s *fakeSource) AwaitTargets(ctx context.Context, cursor uint64, wait time.Duration) (shelfshelf.TargetsUpdate, error) {
@@ -84,7 +84,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err == nil {
-		update.Whole, update.Removed = false, s.removed
+		update.Full, update.Removed = false, s.removed
 	}
 	return update, err
 }
@@ -108,7 +108,7 @@
 
 // runWithSource runs a test in simulated time with a running catalog.
 func runWithSource(t *testing.T, s *fakeSource, follow func() time.Duration, test func(c *catalog.Catalog)) {
-	runWithCatalog(t, &catalog.Catalog{Source: s, Follow: follow}, test)
+	runWithCatalog(t, &catalog.Catalog{Source: s, ReadAge: follow}, test)
 }
 
 func runWithCatalog(t *testing.T, c *catalog.Catalog, test func(c *catalog.Catalog)) {
@@ -176,13 +176,13 @@
 		if revision() != 5 {
 			t.Errorf("the source set the revision back to %d", revision())
 		}
-		if err := c.Offer([]byte{3}, time.Now(), "other"); err != nil || revision() != 5 {
+		if err := c.OfferConfiguration([]byte{3}, time.Now(), "other"); err != nil || revision() != 5 {
 			t.Errorf("another instance set the revision back to %d: %v", revision(), err)
 		}
-		if err := c.Offer([]byte{9}, time.Now(), "other"); err != nil || revision() != 9 {
+		if err := c.OfferConfiguration([]byte{9}, time.Now(), "other"); err != nil || revision() != 9 {
 			t.Errorf("revision is %d, want 9: %v", revision(), err)
 		}
-		if err := c.Offer(nil, time.Now(), "other"); err == nil {
+		if err := c.OfferConfiguration(nil, time.Now(), "other"); err == nil {
 			t.Error("an offer that can't be decoded was accepted")
 		}
 	})
@@ -195,12 +195,12 @@
 		time.Sleep(100 * time.Millisecond)
 		s.update(func(s *fakeSource) { s.err = errDown })
 		time.Sleep(3 * time.Second)
-		c.Confirm(4, time.Now())
-		c.Confirm(6, time.Now())
+		c.ConfirmConfiguration(4, time.Now())
+		c.ConfirmConfiguration(6, time.Now())
 		if configurationAge(c) < 2*time.Second {
 			t.Error("a confirmation of another revision was accepted")
 		}
-		c.Confirm(5, time.Now().Add(-time.Second))
+		c.ConfirmConfiguration(5, time.Now().Add(-time.Second))
 		if got := configurationAge(c); got < time.Second || got > 1100*time.Millisecond {
 			t.Errorf("configuration is %v old, want 1 s", got)
 		}
@@ -215,7 +215,7 @@
 		time.Sleep(100 * time.Millisecond)
 		before := s.readCount()
 		for range 100 {
-			c.Confirm(5, time.Now())
+			c.ConfirmConfiguration(5, time.Now())
 			time.Sleep(100 * time.Millisecond)
 		}
 		if got := s.readCount(); got != before {
@@ -297,10 +297,10 @@
 		c := &catalog.Catalog{Clock: clockwork.NewRealClock(), Log: log.New(io.Discard)}
 		now := time.Now()
 		c.OfferTargets(catalog.Snapshot{
-			Targets: []shelfshelf.Target{{Name: "a"}, {Name: "b"}}, Version: 2, At: now,
-			KeptUntil: map[shelfshelf.TargetName]time.Time{"b": now.Add(time.Second)},
+			Targets: []shelfshelf.Target{{Name: "a"}, {Name: "b"}}, Version: 2, ValidAt: now,
+			RetainedUntil: map[shelfshelf.TargetName]time.Time{"b": now.Add(time.Second)},
 		}, "other")
-		if got := c.Targets(); len(got.Targets) != 2 || len(got.KeptUntil) != 1 {
+		if got := c.Targets(); len(got.Targets) != 2 || len(got.RetainedUntil) != 1 {
 			t.Errorf("%+v", got)
 		}
 		time.Sleep(1100 * time.Millisecond)
@@ -340,7 +340,7 @@
 	s := &fakeSource{revision: 5, targets: both}
 	c := &catalog.Catalog{Source: s}
 	var notified atomic.Int64
-	c.Changed = func(string) { notified.Store(int64(len(c.Targets().Targets))) }
+	c.OnChange = func(string) { notified.Store(int64(len(c.Targets().Targets))) }
 	runWithCatalog(t, c, func(c *catalog.Catalog) {
 		loseTargetInOutage(s)
 		time.Sleep(4 * time.Second)
@@ -354,7 +354,7 @@
 func TestUnchangedTargetsAreNotReported(t *testing.T) {
 	s := &fakeSource{revision: 5, targets: []shelfshelf.Target{{Name: "a", Address: "x"}, {Name: "b", Address: "y"}}}
 	var lines bytes.Buffer
-	c := &catalog.Catalog{Source: s, Log: log.New(&lines), Follow: func() time.Duration { return time.Hour }}
+	c := &catalog.Catalog{Source: s, Log: log.New(&lines), ReadAge: func() time.Duration { return time.Hour }}
 	runWithCatalog(t, c, func(c *catalog.Catalog) {
 		time.Sleep(100 * time.Millisecond)
 		snapshot := c.Targets()
--- a/catalog/changes.go
+++ b/catalog/changes.go
@@ -21,8 +21,8 @@
 type Delta struct {
 	// Snapshot holds the changed targets, or all targets if Whole is set.
 	Snapshot
-	Whole   bool
-	After   uint64
+	Full   bool
+	Since   uint64
 	Removed []shelfshelf.TargetName
 }
 
@@ -47,9 +47,9 @@
 	defer c.mu.Unlock()
 	names, known := c.changedSince(after)
 	if !known {
-		return Delta{Snapshot: c.snapshot(maps.Keys(c.targets)), Whole: true}
+		return Delta{Snapshot: c.snapshot(maps.Keys(c.targets)), Full: true}
 	}
-	delta := Delta{Snapshot: c.snapshot(maps.Keys(names)), After: after}
+	delta := Delta{Snapshot: c.snapshot(maps.Keys(names)), Since: after}
 	for _, target := range delta.Targets {
 		delete(names, target.Name)
 	}
@@ -82,12 +82,12 @@
 // OfferDelta applies the changes from another instance if they are newer than the list here and leave no
 // gap after it.
 func (c *Catalog) OfferDelta(delta Delta, from string) {
-	if delta.Whole {
+	if delta.Full {
 		c.OfferTargets(delta.Snapshot, from)
 		return
 	}
 	c.mu.Lock()
-	applies := c.targetsVersion >= delta.After && delta.Version > c.targetsVersion
+	applies := c.targetsVersion >= delta.Since && delta.Version > c.targetsVersion
 	c.mu.Unlock()
 	if !applies {
 		return
--- a/catalog/changes_test.go
+++ b/catalog/changes_test.go
@@ -39,7 +39,7 @@
 		expected := map[shelfshelf.TargetName]shelfshelf.Target{}
 		version := uint64(1)
 		offer := func(from, to int) {
-			known, _ := catalogs[to].TargetsKnown()
+			known, _ := catalogs[to].TargetsVersion()
 			catalogs[to].OfferDelta(catalogs[from].TargetsSince(known), "other")
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
@@ -59,7 +59,7 @@
 			for _, target := range expected {
 				targets = append(targets, target)
 			}
-			catalogs[0].OfferTargets(catalog.Snapshot{Targets: targets, Version: version, At: clock.Now()}, "source")
+			catalogs[0].OfferTargets(catalog.Snapshot{Targets: targets, Version: version, ValidAt: clock.Now()}, "source")
 		}
 		for i := 1; i < len(catalogs); i++ {
 			offer(0, i)
@@ -75,15 +75,15 @@
 	clock := clockwork.NewFakeClock()
 	first := &catalog.Catalog{Clock: clock, Log: log.New(io.Discard)}
 	targets := manyTargets()
-	first.OfferTargets(catalog.Snapshot{Targets: targets, Version: 5, At: clock.Now()}, "source")
+	first.OfferTargets(catalog.Snapshot{Targets: targets, Version: 5, ValidAt: clock.Now()}, "source")
 	changed := slices.Clone(targets[1:])
 	changed[0].Leaving = true
 	clock.Advance(time.Second)
-	first.OfferTargets(catalog.Snapshot{Targets: changed, Version: 7, At: clock.Now()}, "source")
+	first.OfferTargets(catalog.Snapshot{Targets: changed, Version: 7, ValidAt: clock.Now()}, "source")
 	for after, want := range map[uint64]struct{ targets, removed int }{5: {1, 1}, 6: {1, 1}, 4: {2999, 0}, 0: {2999, 0}} {
 		delta := first.TargetsSince(after)
-		if len(delta.Targets) != want.targets || len(delta.Removed) != want.removed || delta.Whole != (want.removed == 0) {
-			t.Errorf("after %d: %d changed, %d removed, whole %v", after, len(delta.Targets), len(delta.Removed), delta.Whole)
+		if len(delta.Targets) != want.targets || len(delta.Removed) != want.removed || delta.Full != (want.removed == 0) {
+			t.Errorf("after %d: %d changed, %d removed, whole %v", after, len(delta.Targets), len(delta.Removed), delta.Full)
 		}
 	}
 }
@@ -93,9 +93,9 @@
 	clock := clockwork.NewFakeClock()
 	c := &catalog.Catalog{Clock: clock, Log: log.New(io.Discard)}
 	targets := manyTargets()
-	c.OfferTargets(catalog.Snapshot{Targets: targets, Version: 5, At: clock.Now()}, "source")
+	c.OfferTargets(catalog.Snapshot{Targets: targets, Version: 5, ValidAt: clock.Now()}, "source")
 	clock.Advance(time.Second)
-	c.OfferTargets(catalog.Snapshot{Targets: targets[1:], Version: 7, At: clock.Now()}, "source")
+	c.OfferTargets(catalog.Snapshot{Targets: targets[1:], Version: 7, ValidAt: clock.Now()}, "source")
 	for b.Loop() {
 		c.TargetsSince(5)
 	}
--- a/catalog/restore.go
+++ b/catalog/restore.go
@@ -72,7 +72,7 @@
 // The caller must hold c.mu.
 func (c *Catalog) markSuspect(target shelfshelf.Target, now time.Time) shelfshelf.Target {
 	suspect, isSuspect := c.suspects[target.Name]
-	if isSuspect && now.Sub(c.restoredAt) < suspectPeriod && suspect.SameLife(target) {
+	if isSuspect && now.Sub(c.restoredAt) < suspectPeriod && suspect.SameIncarnation(target) {
 		target.Leaving = true
 	}
 	return target
@@ -88,9 +88,9 @@
 	return true
 }
 
-// Usable returns the targets with suspects marked as leaving. For a few seconds after a restore of the
+// UsableTargets returns the targets with suspects marked as leaving. For a few seconds after a restore of the
 // source from an older copy it differs from Targets, which is what other instances get.
-func (c *Catalog) Usable() Snapshot {
+func (c *Catalog) UsableTargets() Snapshot {
 	snapshot := c.Targets()
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/catalog/snapshot.go
+++ b/catalog/snapshot.go
@@ -11,18 +11,18 @@
 // Snapshot is the state of the target list at one moment.
 type Snapshot struct {
 	Targets []shelfshelf.Target
-	// KeptUntil holds the expiry times of those targets that are missing from the source's list after an
+	// RetainedUntil holds the expiry times of those targets that are missing from the source's list after an
 	// outage and are still used for a short time.
-	KeptUntil map[shelfshelf.TargetName]time.Time
+	RetainedUntil map[shelfshelf.TargetName]time.Time
 	// Version orders snapshots: a greater one is newer.
 	Version uint64
-	// At is the latest time at which the snapshot is known to have been current; zero if there is no data.
-	At time.Time
+	// ValidAt is the latest time at which the snapshot is known to have been current; zero if there is no data.
+	ValidAt time.Time
 }
 
-// TargetsKnown returns the version of the target list and the latest time at which it is known to have been
+// TargetsVersion returns the version of the target list and the latest time at which it is known to have been
 // current, which is zero if there is no data. It doesn't copy the list itself.
-func (c *Catalog) TargetsKnown() (version uint64, validAt time.Time) {
+func (c *Catalog) TargetsVersion() (version uint64, validAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.targetsVersion, c.targetsValidAt
@@ -37,7 +37,7 @@
 
 // snapshot returns a snapshot of the named targets without the expired ones. The caller must hold c.mu.
 func (c *Catalog) snapshot(names iter.Seq[shelfshelf.TargetName]) Snapshot {
-	snapshot := Snapshot{Version: c.targetsVersion, At: c.targetsValidAt, KeptUntil: make(map[shelfshelf.TargetName]time.Time)}
+	snapshot := Snapshot{Version: c.targetsVersion, ValidAt: c.targetsValidAt, RetainedUntil: make(map[shelfshelf.TargetName]time.Time)}
 	now := c.Clock.Now()
 	for name := range names {
 		target, listed := c.targets[name]
@@ -46,7 +46,7 @@
 			continue
 		}
 		if retained {
-			snapshot.KeptUntil[name] = expiry
+			snapshot.RetainedUntil[name] = expiry
 		}
 		snapshot.Targets = append(snapshot.Targets, target)
 	}
--- a/catalog/targets.go
+++ b/catalog/targets.go
@@ -66,7 +66,7 @@
 		c.retainedUntil = make(map[shelfshelf.TargetName]time.Time)
 	}
 	candidates := update.Removed
-	if update.Whole {
+	if update.Full {
 		candidates = missingTargets(c.targets, update.Changed)
 	}
 	now := c.Clock.Now()
@@ -75,7 +75,7 @@
 	var removed []shelfshelf.TargetName
 	for _, name := range candidates {
 		until := time.Time{}
-		if update.Whole {
+		if update.Full {
 			until = shelfshelf.Later(retainUntil(name), c.restoreGraceEnd(name))
 		}
 		if c.removeTarget(name, until, now) {
@@ -101,13 +101,13 @@
 	}
 	count := len(c.targets)
 	c.mu.Unlock()
-	if restored && c.Returned != nil {
-		c.Returned()
+	if restored && c.OnRestore != nil {
+		c.OnRestore()
 	}
 	if len(removed)+len(changed) == 0 {
 		return
 	}
-	c.Log.Info("Targets have changed.", "changed", changed, "removed", removed, "whole", update.Whole,
+	c.Log.Info("Targets have changed.", "changed", changed, "removed", removed, "whole", update.Full,
 		"known", count, "version", update.Version, "age", c.Clock.Now().Sub(validAt))
 	c.notify(from)
 }
@@ -116,7 +116,7 @@
 // becomes unreadable or its reason changes, not at every read. The caller must hold c.mu.
 func (c *Catalog) recordUnreadable(update shelfshelf.TargetsUpdate) {
 	previous := c.unreadable
-	if update.Whole || previous == nil {
+	if update.Full || previous == nil {
 		c.unreadable = make(map[shelfshelf.TargetName]string)
 	}
 	for _, target := range update.Changed {
@@ -125,7 +125,7 @@
 	for _, name := range update.Removed {
 		delete(c.unreadable, name)
 	}
-	for _, entry := range update.Unreadable {
+	for _, entry := range update.Invalid {
 		reason := entry.Reason.Error()
 		c.unreadable[entry.Name] = reason
 		if previous[entry.Name] != reason {
@@ -134,8 +134,8 @@
 	}
 }
 
-// Unreadable returns how many entries of the list don't decode to a usable target.
-func (c *Catalog) Unreadable() int {
+// UnreadableCount returns how many entries of the list don't decode to a usable target.
+func (c *Catalog) UnreadableCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.unreadable)
@@ -237,21 +237,21 @@
 // OfferTargets applies a snapshot from another instance if it is newer.
 func (c *Catalog) OfferTargets(snapshot Snapshot, from string) {
 	c.mu.Lock()
-	newer := snapshot.Version > c.targetsVersion || snapshot.Version == c.targetsVersion && snapshot.At.After(c.targetsValidAt)
+	newer := snapshot.Version > c.targetsVersion || snapshot.Version == c.targetsVersion && snapshot.ValidAt.After(c.targetsValidAt)
 	c.mu.Unlock()
 	if !newer {
 		return
 	}
-	c.applyOffer(shelfshelf.TargetsUpdate{Whole: true, Changed: snapshot.Targets, Version: snapshot.Version}, snapshot, from)
+	c.applyOffer(shelfshelf.TargetsUpdate{Full: true, Changed: snapshot.Targets, Version: snapshot.Version}, snapshot, from)
 }
 
 // applyOffer applies an update from another instance, with the expiry times of its retained targets.
 func (c *Catalog) applyOffer(update shelfshelf.TargetsUpdate, snapshot Snapshot, from string) {
-	c.Log.Debug("Received targets from another instance.", "from", from, "version", snapshot.Version, "whole", update.Whole)
-	c.applyTargets(update, snapshot.At, from, func(shelfshelf.TargetName) time.Time { return time.Time{} })
+	c.Log.Debug("Received targets from another instance.", "from", from, "version", snapshot.Version, "whole", update.Full)
+	c.applyTargets(update, snapshot.ValidAt, from, func(shelfshelf.TargetName) time.Time { return time.Time{} })
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for name, until := range snapshot.KeptUntil {
+	for name, until := range snapshot.RetainedUntil {
 		c.retainTarget(name, until)
 	}
 }
--- a/control/control.go
+++ b/control/control.go
@@ -185,7 +185,7 @@
 		Deadline:     now.Add(time.Minute),
 	}
 	for mark := range markCount {
-		ask.Prefix = append(ask.Prefix, shelfshelf.PrefixMark{Tokens: 64 * (mark + 1), Hash: shelfshelf.BlockHash(serial%50*1000+mark) << 40})
+		ask.Prefix = append(ask.Prefix, shelfshelf.PromptPrefix{Tokens: 64 * (mark + 1), Hash: shelfshelf.BlockHash(serial%50*1000+mark) << 40})
 	}
 	ticket, err := member.Router.Ask(ctx, ask)
 	if err != nil {
--- a/crash.go
+++ b/crash.go
@@ -14,16 +14,16 @@
 	ID CrashID
 	// Age is the time since the crash.
 	Age time.Duration
-	// Runs are the requests that were in flight at the target.
-	Runs []CrashedRun
+	// Requests are the requests that were in flight at the target.
+	Requests []InFlightRequest
 }
 
-// CrashedRun is a request that was in flight at a target when the target crashed.
-type CrashedRun struct {
+// InFlightRequest is a request that was in flight at a target when the target crashed.
+type InFlightRequest struct {
 	Request Fingerprint
-	// Outlived is set if another run of the request has completed since, so that the request is not the
+	// Cleared is set if another run of the request has completed since, so that the request is not the
 	// cause of the crash.
-	Outlived bool
+	Cleared bool
 }
 
 // CrashStore persists the known crashes for instances that start after all others have ended.
--- a/crashes/keeper.go
+++ b/crashes/keeper.go
@@ -28,15 +28,15 @@
 	mismatchTimeout = time.Second
 )
 
-// Keeper saves the record of crashes in a store, so that it survives restarts, and keeps it equal on all
+// Saver saves the record of crashes in a store, so that it survives restarts, and keeps it equal on all
 // instances. Set the exported fields before Run.
-type Keeper struct {
+type Saver struct {
 	Clock  shelfshelf.Clock
 	Log    *log.Logger
-	Record *Record
+	Record *Tracker
 	Store  shelfshelf.CrashStore
-	// Due reports whether this instance is in charge of saving.
-	Due func() bool
+	// IsSaver reports whether this instance is in charge of saving.
+	IsSaver func() bool
 	// Fetch fetches all crashes known to the instance at an address.
 	Fetch func(ctx context.Context, address string) ([]shelfshelf.Crash, error)
 
@@ -57,31 +57,31 @@
 }
 
 // Init prepares the Keeper. Call it before any other method.
-func (k *Keeper) Init() {
+func (k *Saver) Init() {
 	k.mismatchedSince = make(map[shelfshelf.InstanceID]time.Time)
 	k.fetchFrom = make(chan string, 1)
 	k.storeLost = make(chan struct{}, 1)
 }
 
-// Lost reports that the store may have lost what was saved, as after a restore from an older copy.
-func (k *Keeper) Lost() {
+// StoreReset reports that the store may have lost what was saved, as after a restore from an older copy.
+func (k *Saver) StoreReset() {
 	select {
 	case k.storeLost <- struct{}{}:
 	default:
 	}
 }
 
-// Known returns all known crashes, for an instance that starts. The error is ErrUnavailable until this
+// Crashes returns all known crashes, for an instance that starts. The error is ErrUnavailable until this
 // instance has loaded the saved ones.
-func (k *Keeper) Known() ([]shelfshelf.Crash, error) {
+func (k *Saver) Crashes() ([]shelfshelf.Crash, error) {
 	if !k.loaded.Load() {
 		return nil, shelfshelf.ErrUnavailable
 	}
 	return k.Record.All(), nil
 }
 
-// Heard processes the hash of another instance's record.
-func (k *Keeper) Heard(from shelfshelf.Instance, hash uint64) {
+// CompareHash processes the hash of another instance's record.
+func (k *Saver) CompareHash(from shelfshelf.Instance, hash uint64) {
 	same := hash == k.Record.Hash()
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -102,18 +102,18 @@
 }
 
 // Run loads, saves and fetches crashes until the context ends.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *Saver) Run(ctx context.Context) error {
 	k.load(ctx)
 	k.loaded.Store(true)
 	return k.loop(ctx)
 }
 
 // load loads the saved crashes, retrying until it succeeds or the context ends.
-func (k *Keeper) load(ctx context.Context) {
+func (k *Saver) load(ctx context.Context) {
 	for ctx.Err() == nil {
 		loaded, err := k.Store.LoadCrashes(ctx)
 		if err == nil || errors.Is(err, shelfshelf.ErrNotFound) {
-			k.Record.Heard(loaded, false)
+			k.Record.Merge(loaded, false)
 			k.Log.Info("Loaded the saved crashes of targets.", "crashes", len(loaded))
 			return
 		}
@@ -125,7 +125,7 @@
 	}
 }
 
-func (k *Keeper) loop(ctx context.Context) error {
+func (k *Saver) loop(ctx context.Context) error {
 	var watchUntil time.Time
 	for {
 		var saveDue <-chan time.Time
@@ -152,12 +152,12 @@
 
 // save saves the suspected crashes if they have changed and this instance is in charge. It logs the first
 // of consecutive failures and the recovery.
-func (k *Keeper) save(ctx context.Context) {
+func (k *Saver) save(ctx context.Context) {
 	now := k.Clock.Now()
-	if !k.Due() || now.Sub(k.savedAt) < minSaveInterval {
+	if !k.IsSaver() || now.Sub(k.savedAt) < minSaveInterval {
 		return
 	}
-	suspected := k.Record.Suspected()
+	suspected := k.Record.CrashesToSave()
 	hash := hashCrashes(suspected)
 	if hash == k.savedHash {
 		return
@@ -180,7 +180,7 @@
 
 // fetch merges the crashes known to another instance. The other instances of this data centre may not
 // know them either.
-func (k *Keeper) fetch(ctx context.Context, address string) {
+func (k *Saver) fetch(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	fetched, err := k.Fetch(ctx, address)
@@ -188,5 +188,5 @@
 		k.Log.Warn("Failed to fetch another instance's crashes of targets.", "from", address, "error", err)
 		return
 	}
-	k.Record.Heard(fetched, true)
+	k.Record.Merge(fetched, true)
 }
--- a/crashes/keeper_test.go
+++ b/crashes/keeper_test.go
@@ -44,12 +44,12 @@
 	return s.saves
 }
 
-func newKeeper(t *testing.T, s *store, self string, due bool, fetch func() []shelfshelf.Crash) (*crashes.Keeper, *crashes.Record) {
+func newKeeper(t *testing.T, s *store, self string, due bool, fetch func() []shelfshelf.Crash) (*crashes.Saver, *crashes.Tracker) {
 	t.Helper()
 	clock := clockwork.NewRealClock()
 	record := newRecord(clock, self)
-	keeper := &crashes.Keeper{
-		Clock: clock, Log: log.New(io.Discard), Record: record, Store: s, Due: func() bool { return due },
+	keeper := &crashes.Saver{
+		Clock: clock, Log: log.New(io.Discard), Record: record, Store: s, IsSaver: func() bool { return due },
 		Fetch: func(context.Context, string) ([]shelfshelf.Crash, error) { return fetch(), nil },
 	}
 	keeper.Init()
@@ -63,7 +63,7 @@
 		cancel()
 		<-stopped
 	})
-	eventually(t, "the saved crashes are loaded", func() bool { _, err := keeper.Known(); return err == nil })
+	eventually(t, "the saved crashes are loaded", func() bool { _, err := keeper.Crashes(); return err == nil })
 	return keeper, record
 }
 
@@ -100,10 +100,10 @@
 		t.Errorf("%d saves", shared.count())
 	}
 	_, restarted := newKeeper(t, shared, "c", false, nil)
-	if quarantine, held := restarted.Held(poison, "r"); !held || quarantine.Ends != 3 {
+	if quarantine, held := restarted.CheckQuarantine(poison, "r"); !held || quarantine.Crashes != 3 {
 		t.Errorf("quarantine after a restart: %+v, %t", quarantine, held)
 	}
-	if _, held := restarted.Held(7, "r"); held {
+	if _, held := restarted.CheckQuarantine(7, "r"); held {
 		t.Error("a request that ran beside it is quarantined")
 	}
 }
@@ -118,8 +118,8 @@
 	}
 	keeper, lagging := newKeeper(t, &store{}, "b", false, complete.All)
 	eventually(t, "the request is quarantined", func() bool {
-		keeper.Heard(shelfshelf.Instance{ID: "a", Address: "10.0.0.1:1"}, complete.Hash())
-		_, held := lagging.Held(poison, "r")
+		keeper.CompareHash(shelfshelf.Instance{ID: "a", Address: "10.0.0.1:1"}, complete.Hash())
+		_, held := lagging.CheckQuarantine(poison, "r")
 		return held
 	})
 }
--- a/crashes/quarantine.go
+++ b/crashes/quarantine.go
@@ -19,12 +19,12 @@
 	probeTimeout = 30 * time.Second
 )
 
-// Hold describes the quarantine of a request.
-type Hold struct {
-	// Ends is the number of crashes of targets that ran it.
-	Ends int
-	// Left is the remaining time of the quarantine.
-	Left time.Duration
+// Quarantine describes the quarantine of a request.
+type Quarantine struct {
+	// Crashes is the number of crashes of targets that ran it.
+	Crashes int
+	// Remaining is the remaining time of the quarantine.
+	Remaining time.Duration
 }
 
 // probe is the request that was let through at the end of a quarantine.
@@ -33,24 +33,24 @@
 	startedAt time.Time
 }
 
-// Held reports whether a request is quarantined, so that it must not be sent to a target, and returns
+// CheckQuarantine reports whether a request is quarantined, so that it must not be sent to a target, and returns
 // the details. At the end of a quarantine, one request with the fingerprint is let through as a probe.
 // Each instance does so at a different time, far enough apart that all know the outcome of the previous
 // probe.
-func (r *Record) Held(request shelfshelf.Fingerprint, id shelfshelf.RequestID) (Hold, bool) {
+func (r *Tracker) CheckQuarantine(request shelfshelf.Fingerprint, id shelfshelf.RequestID) (Quarantine, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	b := r.blamed[request]
 	if !b.quarantined() {
-		return Hold{}, false
+		return Quarantine{}, false
 	}
 	now := r.Clock.Now()
 	if remaining := b.lastAt.Add(quarantineTime(b) + r.instanceDelay(request, b)).Sub(now); remaining > 0 {
-		return Hold{Ends: b.crashes, Left: remaining}, true
+		return Quarantine{Crashes: b.crashes, Remaining: remaining}, true
 	}
 	p, probed := r.probes[request]
 	if probed && p.request != id && now.Sub(p.startedAt) < probeTimeout {
-		return Hold{Ends: b.crashes, Left: probeTimeout - now.Sub(p.startedAt)}, true
+		return Quarantine{Crashes: b.crashes, Remaining: probeTimeout - now.Sub(p.startedAt)}, true
 	}
 	if !probed || p.request != id {
 		if r.probes == nil {
@@ -59,11 +59,11 @@
 		r.probes[request] = probe{request: id, startedAt: now}
 		r.Log.Info("A quarantined request is let through as a probe.", "fingerprint", request, "request", id, "ends", b.crashes)
 	}
-	return Hold{}, false
+	return Quarantine{}, false
 }
 
-// HeldBack returns the number of quarantined requests.
-func (r *Record) HeldBack() int {
+// QuarantinedCount returns the number of quarantined requests.
+func (r *Tracker) QuarantinedCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	count := 0
@@ -85,7 +85,7 @@
 }
 
 // instanceDelay returns how long after the end of a quarantine this instance lets a probe through.
-func (r *Record) instanceDelay(request shelfshelf.Fingerprint, b blame) time.Duration {
+func (r *Tracker) instanceDelay(request shelfshelf.Fingerprint, b blame) time.Duration {
 	share := float64(xxhash.Sum64String(string(r.Self)+request.String())) / (1 << 64)
 	return time.Duration(share * float64(quarantineTime(b)))
 }
--- a/crashes/record.go
+++ b/crashes/record.go
@@ -26,9 +26,9 @@
 	sameCrashWindow = 1500 * time.Millisecond
 )
 
-// Record holds the known crashes. Records converge: two that received the same information are equal, in
+// Tracker holds the known crashes. Records converge: two that received the same information are equal, in
 // whatever order it came. Set the exported fields before use. It is safe for concurrent use.
-type Record struct {
+type Tracker struct {
 	Clock shelfshelf.Clock
 	Log   *log.Logger
 	// Self determines the time after a quarantine at which this instance lets a probe through.
@@ -46,28 +46,28 @@
 }
 
 // Changed returns a channel that receives a value after the record has changed.
-func (r *Record) Changed() <-chan struct{} {
+func (r *Tracker) Changed() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.changedChannel()
 }
 
 // changedChannel returns the channel of Changed. The caller must hold r.mu.
-func (r *Record) changedChannel() chan struct{} {
+func (r *Tracker) changedChannel() chan struct{} {
 	if r.changed == nil {
 		r.changed = make(chan struct{}, 1)
 	}
 	return r.changed
 }
 
-// Ended records that a target crashed at the given time while it was running requests.
-func (r *Record) Ended(target shelfshelf.Target, requests []shelfshelf.Fingerprint, at time.Time) shelfshelf.CrashID {
+// RecordCrash records that a target crashed at the given time while it was running requests.
+func (r *Tracker) RecordCrash(target shelfshelf.Target, requests []shelfshelf.Fingerprint, at time.Time) shelfshelf.CrashID {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	id := r.crashID(target, at)
 	observed := shelfshelf.Crash{ID: id, Age: r.Clock.Now().Sub(at)}
 	for _, request := range requests {
-		observed.Runs = append(observed.Runs, shelfshelf.CrashedRun{Request: request})
+		observed.Requests = append(observed.Requests, shelfshelf.InFlightRequest{Request: request})
 	}
 	if r.merge(observed, true) {
 		r.reassess()
@@ -77,11 +77,11 @@
 
 // crashID returns the ID of the first crash of the target's process, or of a further one if the previous
 // one is too long ago to be the same. The caller must hold r.mu.
-func (r *Record) crashID(target shelfshelf.Target, at time.Time) shelfshelf.CrashID {
+func (r *Tracker) crashID(target shelfshelf.Target, at time.Time) shelfshelf.CrashID {
 	hash := xxhash.New()
 	_, _ = hash.WriteString(string(target.Name))
 	var born [8]byte
-	binary.BigEndian.PutUint64(born[:], uint64(target.Born.UnixMilli()))
+	binary.BigEndian.PutUint64(born[:], uint64(target.StartedAt.UnixMilli()))
 	_, _ = hash.Write(born[:])
 	for {
 		id := shelfshelf.CrashID(hash.Sum64())
@@ -93,9 +93,9 @@
 	}
 }
 
-// Outlived records that a run of a request completed, so the request didn't cause the earlier crashes of
+// RequestCompleted records that a run of a request completed, so the request didn't cause the earlier crashes of
 // targets that ran it.
-func (r *Record) Outlived(request shelfshelf.Fingerprint) {
+func (r *Tracker) RequestCompleted(request shelfshelf.Fingerprint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if _, suspected := r.blamed[request]; !suspected {
@@ -110,9 +110,9 @@
 	r.reassess()
 }
 
-// Heard merges crashes received from another instance. unknownLocally means that other instances of this
+// Merge merges crashes received from another instance. unknownLocally means that other instances of this
 // data centre may not have received them.
-func (r *Record) Heard(received []shelfshelf.Crash, unknownLocally bool) {
+func (r *Tracker) Merge(received []shelfshelf.Crash, unknownLocally bool) {
 	if len(received) == 0 {
 		return
 	}
@@ -122,7 +122,7 @@
 	for _, c := range received {
 		if r.merge(c, unknownLocally) {
 			changed = true
-			r.Log.Info("Another instance reported a crash of a target.", "crash", uint64(c.ID), "age", c.Age, "runs", len(c.Runs))
+			r.Log.Info("Another instance reported a crash of a target.", "crash", uint64(c.ID), "age", c.Age, "runs", len(c.Requests))
 		}
 	}
 	if changed {
@@ -132,7 +132,7 @@
 
 // merge merges a received crash and reports whether it brought new information. The caller must hold
 // r.mu.
-func (r *Record) merge(received shelfshelf.Crash, unknownLocally bool) bool {
+func (r *Tracker) merge(received shelfshelf.Crash, unknownLocally bool) bool {
 	if received.Age >= crashRetention {
 		return false
 	}
@@ -145,12 +145,12 @@
 		}
 		r.crashes[received.ID] = c
 	}
-	for _, run := range received.Runs {
+	for _, run := range received.Requests {
 		cleared, ran := c.runs[run.Request]
-		if ran && (cleared || !run.Outlived) || !ran && len(c.runs) >= maxRunsPerCrash {
+		if ran && (cleared || !run.Cleared) || !ran && len(c.runs) >= maxRunsPerCrash {
 			continue
 		}
-		r.setRun(received.ID, c, run.Request, run.Outlived)
+		r.setRun(received.ID, c, run.Request, run.Cleared)
 		changed = true
 	}
 	if changed {
@@ -160,7 +160,7 @@
 }
 
 // setRun sets a run of a crash and updates the hash. The caller must hold r.mu.
-func (r *Record) setRun(id shelfshelf.CrashID, c *crash, request shelfshelf.Fingerprint, cleared bool) {
+func (r *Tracker) setRun(id shelfshelf.CrashID, c *crash, request shelfshelf.Fingerprint, cleared bool) {
 	if before, ran := c.runs[request]; ran {
 		r.hash ^= hashRun(id, request, before)
 	}
@@ -183,15 +183,15 @@
 func hashCrashes(crashes []shelfshelf.Crash) uint64 {
 	hash := uint64(0)
 	for _, c := range crashes {
-		for _, run := range c.Runs {
-			hash ^= hashRun(c.ID, run.Request, run.Outlived)
+		for _, run := range c.Requests {
+			hash ^= hashRun(c.ID, run.Request, run.Cleared)
 		}
 	}
 	return hash
 }
 
 // markUpdated marks a crash to be sent to other instances. The caller must hold r.mu.
-func (r *Record) markUpdated(id shelfshelf.CrashID, unknownLocally bool) {
+func (r *Tracker) markUpdated(id shelfshelf.CrashID, unknownLocally bool) {
 	if r.updates == nil {
 		r.updates = make(map[shelfshelf.CrashID]update)
 	}
@@ -200,7 +200,7 @@
 
 // reassess removes expired crashes, assigns blame again and signals the change. The caller must hold
 // r.mu.
-func (r *Record) reassess() {
+func (r *Tracker) reassess() {
 	r.removeExpired()
 	blamed := assignBlame(r.crashes)
 	for request, b := range blamed {
@@ -225,7 +225,7 @@
 
 // removeExpired removes crashes that are too old or too many, and old updates. The caller must hold
 // r.mu.
-func (r *Record) removeExpired() {
+func (r *Tracker) removeExpired() {
 	now := r.Clock.Now()
 	for id, c := range r.crashes {
 		if now.Sub(c.at) >= crashRetention {
@@ -246,7 +246,7 @@
 }
 
 // remove removes a crash. The caller must hold r.mu.
-func (r *Record) remove(id shelfshelf.CrashID) {
+func (r *Tracker) remove(id shelfshelf.CrashID) {
 	for request, cleared := range r.crashes[id].runs {
 		r.hash ^= hashRun(id, request, cleared)
 	}
@@ -255,7 +255,7 @@
 }
 
 // newestFirst returns the IDs of all crashes, those of the newest first. The caller must hold r.mu.
-func (r *Record) newestFirst() []shelfshelf.CrashID {
+func (r *Tracker) newestFirst() []shelfshelf.CrashID {
 	ids := make([]shelfshelf.CrashID, 0, len(r.crashes))
 	for id := range r.crashes {
 		ids = append(ids, id)
--- a/crashes/record_test.go
+++ b/crashes/record_test.go
@@ -17,8 +17,8 @@
 // poison is a request that crashes every target.
 const poison = shelfshelf.Fingerprint(1)
 
-func newRecord(clock shelfshelf.Clock, self string) *crashes.Record {
-	return &crashes.Record{Clock: clock, Log: log.New(io.Discard), Self: shelfshelf.InstanceID(self)}
+func newRecord(clock shelfshelf.Clock, self string) *crashes.Tracker {
+	return &crashes.Tracker{Clock: clock, Log: log.New(io.Discard), Self: shelfshelf.InstanceID(self)}
 }
 
 func target(name string) shelfshelf.Target {
@@ -26,8 +26,8 @@
 }
 
 // crashWhileRunning records a crash of a target that was running requests.
-func crashWhileRunning(r *crashes.Record, clock shelfshelf.Clock, name string, requests ...shelfshelf.Fingerprint) {
-	r.Ended(target(name), requests, clock.Now())
+func crashWhileRunning(r *crashes.Tracker, clock shelfshelf.Clock, name string, requests ...shelfshelf.Fingerprint) {
+	r.RecordCrash(target(name), requests, clock.Now())
 }
 
 // Records converge after a full exchange between instances, even if each saw only a part of the same
@@ -36,7 +36,7 @@
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		clock := clockwork.NewFakeClock()
-		records := []*crashes.Record{newRecord(clock, "a"), newRecord(clock, "b"), newRecord(clock, "c")}
+		records := []*crashes.Tracker{newRecord(clock, "a"), newRecord(clock, "b"), newRecord(clock, "c")}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			r := records[rapid.IntRange(0, 2).Draw(t, "at")]
 			request := shelfshelf.Fingerprint(rapid.IntRange(1, 6).Draw(t, "request"))
@@ -44,22 +44,22 @@
 			case 0, 1:
 				crashWhileRunning(r, clock, fmt.Sprint("t", rapid.IntRange(0, 8).Draw(t, "target")), request, request+1)
 			case 2:
-				r.Outlived(request)
+				r.RequestCompleted(request)
 			case 3:
-				news := r.News(true)
+				news := r.Updates(true)
 				if len(news) > 0 && rapid.Bool().Draw(t, "comes") {
-					records[rapid.IntRange(0, 2).Draw(t, "to")].Heard(news, rapid.Bool().Draw(t, "wide"))
+					records[rapid.IntRange(0, 2).Draw(t, "to")].Merge(news, rapid.Bool().Draw(t, "wide"))
 				}
 			}
 			clock.Advance(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
 		}
 		for range 2 {
 			for i, r := range records {
-				r.Heard(records[(i+1)%len(records)].All(), true)
+				r.Merge(records[(i+1)%len(records)].All(), true)
 			}
 		}
 		for _, r := range records[1:] {
-			if r.Hash() != records[0].Hash() || r.HeldBack() != records[0].HeldBack() {
+			if r.Hash() != records[0].Hash() || r.QuarantinedCount() != records[0].QuarantinedCount() {
 				t.Fatalf("records differ: %v and %v", records[0].All(), r.All())
 			}
 		}
@@ -75,8 +75,8 @@
 		crashWhileRunning(a, clock, "t1", poison)
 		clock.Advance(20 * time.Millisecond)
 		crashWhileRunning(b, clock, "t1", poison)
-		b.Heard(a.News(true), false)
-		if _, held := b.Held(poison, "r"); held != (i == 2) {
+		b.Merge(a.Updates(true), false)
+		if _, held := b.CheckQuarantine(poison, "r"); held != (i == 2) {
 			t.Errorf("quarantined after %d crashes: %t", i+1, held)
 		}
 		// The target restarts under its name.
@@ -91,11 +91,11 @@
 	r := newRecord(clock, "a")
 	for process := range 3 {
 		restarted := target("t1")
-		restarted.Born = time.UnixMilli(int64(1000 + process))
-		r.Ended(restarted, []shelfshelf.Fingerprint{poison}, clock.Now())
+		restarted.StartedAt = time.UnixMilli(int64(1000 + process))
+		r.RecordCrash(restarted, []shelfshelf.Fingerprint{poison}, clock.Now())
 		clock.Advance(300 * time.Millisecond)
 	}
-	if quarantine, held := r.Held(poison, "r"); !held || quarantine.Ends != 3 {
+	if quarantine, held := r.CheckQuarantine(poison, "r"); !held || quarantine.Crashes != 3 {
 		t.Errorf("%+v %t", quarantine, held)
 	}
 }
@@ -105,12 +105,12 @@
 func TestQuarantineEndsWithOneProbe(t *testing.T) {
 	t.Parallel()
 	clock := clockwork.NewFakeClock()
-	records := []*crashes.Record{newRecord(clock, "a"), newRecord(clock, "b"), newRecord(clock, "c")}
+	records := []*crashes.Tracker{newRecord(clock, "a"), newRecord(clock, "b"), newRecord(clock, "c")}
 	for i := range 3 {
 		crashWhileRunning(records[0], clock, fmt.Sprint("t", i), poison)
 	}
 	for _, r := range records[1:] {
-		r.Heard(records[0].News(true), true)
+		r.Merge(records[0].Updates(true), true)
 	}
 	crashCount := 3
 	for range 20_000 {
@@ -119,20 +119,20 @@
 		for i, r := range records {
 			for caller := range 3 {
 				id := shelfshelf.RequestID(fmt.Sprint("r", i, "-", caller))
-				if _, held := r.Held(poison, id); held {
+				if _, held := r.CheckQuarantine(poison, id); held {
 					continue
 				}
-				if _, held := r.Held(poison, id); held {
+				if _, held := r.CheckQuarantine(poison, id); held {
 					t.Fatal("the probe is quarantined right before it is sent")
 				}
 				crashCount++
 				crashWhileRunning(r, clock, fmt.Sprint("t", crashCount), poison)
-				news = r.News(true)
+				news = r.Updates(true)
 			}
 		}
 		for _, r := range records {
-			r.Heard(news, true)
-			r.Heard(records[0].All(), true)
+			r.Merge(news, true)
+			r.Merge(records[0].All(), true)
 		}
 	}
 	// In 55 hours there is time for eight quarantines of 10, 20, 40, ... 1,280 minutes, or fewer because
@@ -151,17 +151,17 @@
 	for i := range 3 {
 		crashWhileRunning(r, clock, fmt.Sprint("t", i), poison)
 	}
-	quarantine, held := r.Held(poison, "r1")
-	if !held || quarantine.Left < 10*time.Minute || quarantine.Left > 20*time.Minute || r.HeldBack() != 1 {
+	quarantine, held := r.CheckQuarantine(poison, "r1")
+	if !held || quarantine.Remaining < 10*time.Minute || quarantine.Remaining > 20*time.Minute || r.QuarantinedCount() != 1 {
 		t.Fatalf("%+v %t", quarantine, held)
 	}
-	clock.Advance(quarantine.Left)
-	if _, held := r.Held(poison, "r1"); held {
+	clock.Advance(quarantine.Remaining)
+	if _, held := r.CheckQuarantine(poison, "r1"); held {
 		t.Fatal("still quarantined")
 	}
-	r.Outlived(poison)
+	r.RequestCompleted(poison)
 	for _, id := range []shelfshelf.RequestID{"r2", "r3"} {
-		if _, held := r.Held(poison, id); held {
+		if _, held := r.CheckQuarantine(poison, id); held {
 			t.Errorf("%s is quarantined", id)
 		}
 	}
@@ -188,8 +188,8 @@
 		t.Errorf("%d crashes are remembered", len(all))
 	}
 	runCount := 0
-	for _, c := range r.News(true) {
-		runCount += len(c.Runs)
+	for _, c := range r.Updates(true) {
+		runCount += len(c.Requests)
 	}
 	if runCount == 0 || runCount > 600 {
 		t.Errorf("%d runs in one status", runCount)
@@ -200,7 +200,7 @@
 		t.Errorf("%d crashes are remembered after eight days", len(all))
 	}
 	fresh := newRecord(clock, "b")
-	fresh.Heard(r.All(), false)
+	fresh.Merge(r.All(), false)
 	if fresh.Hash() != r.Hash() {
 		t.Error("removed crashes still count in the hash")
 	}
--- a/crashes/updates.go
+++ b/crashes/updates.go
@@ -25,9 +25,9 @@
 	unknownLocally bool
 }
 
-// News returns the recently updated crashes, as many as fit into a status. Unless all is set, it leaves
+// Updates returns the recently updated crashes, as many as fit into a status. Unless all is set, it leaves
 // out those that the other instances of this data centre received from the same source.
-func (r *Record) News(all bool) []shelfshelf.Crash {
+func (r *Tracker) Updates(all bool) []shelfshelf.Crash {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.updates) == 0 {
@@ -54,13 +54,13 @@
 func (c *crash) export(id shelfshelf.CrashID, now time.Time) shelfshelf.Crash {
 	exported := shelfshelf.Crash{ID: id, Age: now.Sub(c.at)}
 	for request, cleared := range c.runs {
-		exported.Runs = append(exported.Runs, shelfshelf.CrashedRun{Request: request, Outlived: cleared})
+		exported.Requests = append(exported.Requests, shelfshelf.InFlightRequest{Request: request, Cleared: cleared})
 	}
 	return exported
 }
 
 // All returns all known crashes, the newest first.
-func (r *Record) All() []shelfshelf.Crash {
+func (r *Tracker) All() []shelfshelf.Crash {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.Clock.Now()
@@ -72,15 +72,15 @@
 }
 
 // Hash returns a hash of the runs of all crashes. It is equal for records that know the same runs.
-func (r *Record) Hash() uint64 {
+func (r *Tracker) Hash() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.hash
 }
 
-// Suspected returns the crashes, the newest first, with only the runs that matter after a restart of all
+// CrashesToSave returns the crashes, the newest first, with only the runs that matter after a restart of all
 // instances.
-func (r *Record) Suspected() []shelfshelf.Crash {
+func (r *Tracker) CrashesToSave() []shelfshelf.Crash {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.Clock.Now()
@@ -89,10 +89,10 @@
 		saved := shelfshelf.Crash{ID: id, Age: now.Sub(r.crashes[id].at)}
 		for request, cleared := range r.crashes[id].runs {
 			if !cleared && r.blamed[request].crashes >= minSavedCrashes {
-				saved.Runs = append(saved.Runs, shelfshelf.CrashedRun{Request: request})
+				saved.Requests = append(saved.Requests, shelfshelf.InFlightRequest{Request: request})
 			}
 		}
-		if len(saved.Runs) > 0 {
+		if len(saved.Requests) > 0 {
 			suspected = append(suspected, saved)
 		}
 	}
--- a/crashes/wire.go
+++ b/crashes/wire.go
@@ -38,15 +38,15 @@
 	return size
 }
 
-func wireSize(crash shelfshelf.Crash) int { return crashBytes + runBytes*len(crash.Runs) }
+func wireSize(crash shelfshelf.Crash) int { return crashBytes + runBytes*len(crash.Requests) }
 
 // ToWire returns the message form of crashes.
 func ToWire(crashes []shelfshelf.Crash) []Wire {
 	wire := make([]Wire, len(crashes))
 	for i, crash := range crashes {
-		wire[i] = Wire{ID: uint64(crash.ID), Age: int64(crash.Age), Runs: make([]WireRun, len(crash.Runs))}
-		for j, run := range crash.Runs {
-			wire[i].Runs[j] = WireRun{Request: uint64(run.Request), Outlived: run.Outlived}
+		wire[i] = Wire{ID: uint64(crash.ID), Age: int64(crash.Age), Runs: make([]WireRun, len(crash.Requests))}
+		for j, run := range crash.Requests {
+			wire[i].Runs[j] = WireRun{Request: uint64(run.Request), Outlived: run.Cleared}
 		}
 	}
 	return wire
@@ -57,10 +57,10 @@
 	crashes := make([]shelfshelf.Crash, len(wire))
 	for i, crash := range wire {
 		crashes[i] = shelfshelf.Crash{
-			ID: shelfshelf.CrashID(crash.ID), Age: time.Duration(crash.Age), Runs: make([]shelfshelf.CrashedRun, len(crash.Runs)),
+			ID: shelfshelf.CrashID(crash.ID), Age: time.Duration(crash.Age), Requests: make([]shelfshelf.InFlightRequest, len(crash.Runs)),
 		}
 		for j, run := range crash.Runs {
-			crashes[i].Runs[j] = shelfshelf.CrashedRun{Request: shelfshelf.Fingerprint(run.Request), Outlived: run.Outlived}
+			crashes[i].Requests[j] = shelfshelf.InFlightRequest{Request: shelfshelf.Fingerprint(run.Request), Cleared: run.Outlived}
 		}
 	}
 	return crashes
--- a/crashes/witness.go
+++ b/crashes/witness.go
@@ -20,17 +20,17 @@
 	recheckDelay = time.Second
 )
 
-// Witness finds out whether a target crashed after one of its responses broke off. Responses also break
+// Detector finds out whether a target crashed after one of its responses broke off. Responses also break
 // off while the target keeps running, which says nothing about the request. Set the exported fields
 // before use. It is safe for concurrent use.
-type Witness struct {
+type Detector struct {
 	Clock  shelfshelf.Clock
 	Log    *log.Logger
-	Record *Record
-	// Reach opens a connection to the target at an address.
-	Reach func(ctx context.Context, address string) error
-	// Target returns the current list entry of a target.
-	Target func(shelfshelf.TargetName) (shelfshelf.Target, bool)
+	Record *Tracker
+	// Dial opens a connection to the target at an address.
+	Dial func(ctx context.Context, address string) error
+	// Lookup returns the current list entry of a target.
+	Lookup func(shelfshelf.TargetName) (shelfshelf.Target, bool)
 
 	mu     sync.Mutex
 	checks map[shelfshelf.TargetName]*check
@@ -43,8 +43,8 @@
 	requests []shelfshelf.Fingerprint
 }
 
-// Broken records that a target's response to a request broke off and starts a check. It doesn't block.
-func (w *Witness) Broken(target shelfshelf.Target, request shelfshelf.Fingerprint) {
+// ResponseBroken records that a target's response to a request broke off and starts a check. It doesn't block.
+func (w *Detector) ResponseBroken(target shelfshelf.Target, request shelfshelf.Fingerprint) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if c := w.checks[target.Name]; c != nil {
@@ -60,7 +60,7 @@
 }
 
 // investigate checks one target and records its crash if it has crashed.
-func (w *Witness) investigate(c *check) {
+func (w *Detector) investigate(c *check) {
 	crashed := w.refusesConnections(c.target)
 	if !crashed {
 		<-w.Clock.After(recheckDelay)
@@ -74,25 +74,25 @@
 		w.Log.Debug("A response broke off, but its target didn't crash.", "target", c.target.Name, "requests", requests)
 		return
 	}
-	if listed, found := w.Target(c.target.Name); !found || listed.Leaving {
+	if listed, found := w.Lookup(c.target.Name); !found || listed.Leaving {
 		w.Log.Info("A target that was leaving has ended under requests.", "target", c.target.Name, "requests", requests)
 		return
 	}
-	id := w.Record.Ended(c.target, requests, c.at)
+	id := w.Record.RecordCrash(c.target, requests, c.at)
 	w.Log.Warn("A target has ended under requests.", "target", c.target.Name, "address", c.target.Address,
 		"crash", uint64(id), "requests", requests)
 }
 
 // refusesConnections reports whether nothing listens at a target's address. A target that doesn't answer
 // at all may only be unreachable from this instance.
-func (w *Witness) refusesConnections(target shelfshelf.Target) bool {
+func (w *Detector) refusesConnections(target shelfshelf.Target) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
-	return errors.Is(w.Reach(ctx, target.Address), syscall.ECONNREFUSED)
+	return errors.Is(w.Dial(ctx, target.Address), syscall.ECONNREFUSED)
 }
 
 // restarted reports whether another process of a target is listed under its name.
-func (w *Witness) restarted(target shelfshelf.Target) bool {
-	listed, found := w.Target(target.Name)
-	return found && !listed.SameLife(target)
+func (w *Detector) restarted(target shelfshelf.Target) bool {
+	listed, found := w.Lookup(target.Name)
+	return found && !listed.SameIncarnation(target)
 }
--- a/crashes/witness_test.go
+++ b/crashes/witness_test.go
@@ -26,12 +26,12 @@
 		missing bool
 		want    int
 	}{
-		"connection refused":                    {reach: syscall.ECONNREFUSED, listed: shelfshelf.Target{Born: earlier}, want: 1},
-		"still running":                         {listed: shelfshelf.Target{Born: earlier}},
-		"unreachable from here":                 {reach: context.DeadlineExceeded, listed: shelfshelf.Target{Born: earlier}},
-		"already restarted":                     {listed: shelfshelf.Target{Born: later}, want: 1},
-		"unreachable, restarted process listed": {reach: errors.New("no route"), listed: shelfshelf.Target{Born: later}, want: 1},
-		"shutdown was announced":                {reach: syscall.ECONNREFUSED, listed: shelfshelf.Target{Born: earlier, Leaving: true}},
+		"connection refused":                    {reach: syscall.ECONNREFUSED, listed: shelfshelf.Target{StartedAt: earlier}, want: 1},
+		"still running":                         {listed: shelfshelf.Target{StartedAt: earlier}},
+		"unreachable from here":                 {reach: context.DeadlineExceeded, listed: shelfshelf.Target{StartedAt: earlier}},
+		"already restarted":                     {listed: shelfshelf.Target{StartedAt: later}, want: 1},
+		"unreachable, restarted process listed": {reach: errors.New("no route"), listed: shelfshelf.Target{StartedAt: later}, want: 1},
+		"shutdown was announced":                {reach: syscall.ECONNREFUSED, listed: shelfshelf.Target{StartedAt: earlier, Leaving: true}},
 		"no longer listed":                      {reach: syscall.ECONNREFUSED, missing: true},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -39,15 +39,15 @@
 			clock := clockwork.NewFakeClock()
 			record := newRecord(clock, "a")
 			lookedUp := make(chan struct{})
-			witness := &crashes.Witness{
+			witness := &crashes.Detector{
 				Clock: clock, Log: log.New(io.Discard), Record: record,
-				Reach: func(context.Context, string) error { return c.reach },
-				Target: func(shelfshelf.TargetName) (shelfshelf.Target, bool) {
+				Dial: func(context.Context, string) error { return c.reach },
+				Lookup: func(shelfshelf.TargetName) (shelfshelf.Target, bool) {
 					defer func() { lookedUp <- struct{}{} }()
 					return c.listed, !c.missing
 				},
 			}
-			witness.Broken(shelfshelf.Target{Name: "t", Born: earlier}, poison)
+			witness.ResponseBroken(shelfshelf.Target{Name: "t", StartedAt: earlier}, poison)
 			lookups := 1
 			if !errors.Is(c.reach, syscall.ECONNREFUSED) {
 				if err := clock.BlockUntilContext(t.Context(), 1); err != nil {
--- a/decay/share.go
+++ b/decay/share.go
@@ -13,8 +13,8 @@
 	at      time.Time
 }
 
-// Fade brings the counts up to now: they halve every halfLife.
-func (s *Share) Fade(now time.Time, halfLife time.Duration) {
+// Decay brings the counts up to now: they halve every halfLife.
+func (s *Share) Decay(now time.Time, halfLife time.Duration) {
 	if !s.at.IsZero() {
 		keep := math.Exp2(-float64(now.Sub(s.at)) / float64(halfLife))
 		s.Offered *= keep
--- a/demo/caller.go
+++ b/demo/caller.go
@@ -153,7 +153,7 @@
 func (c *Callers) finish(record *Record, route *shelfshelf.Route) {
 	record.Ended = c.Clock.Now()
 	// Of a whole answer the caller can't see when its first token came.
-	firstInTime := route.FirstToken == 0 || record.FirstToken <= route.FirstToken
+	firstInTime := route.FirstTokenGoal == 0 || record.FirstToken <= route.FirstTokenGoal
 	record.InTime = record.Ended.Sub(record.Sent) <= route.Deadline && firstInTime
 }
 
--- a/entry/directory.go
+++ b/entry/directory.go
@@ -85,10 +85,10 @@
 // legacyAddress returns the old address that a customer's calls of a route still
 // go to; empty once they are moved.
 func legacyAddress(customer *shelfshelf.Customer, route *shelfshelf.Route) string {
-	if address := customer.Legacy[route.Name]; address != "" {
+	if address := customer.LegacyAddresses[route.Name]; address != "" {
 		return address
 	}
-	return route.Legacy
+	return route.LegacyAddress
 }
 
 // tierOf returns a customer's tier on a route.
--- a/entry/server.go
+++ b/entry/server.go
@@ -43,8 +43,8 @@
 	Claims   *claim.Claims
 	// Crashes knows under which requests targets have ended, and Witness finds it out; a
 	// nil Witness finds out nothing.
-	Crashes *crashes.Record
-	Witness *crashes.Witness
+	Crashes *crashes.Tracker
+	Witness *crashes.Detector
 	Metrics *Metrics
 	// Instances returns how many instances are live; limits are shared by it.
 	Instances func() int
@@ -211,8 +211,8 @@
 		Arrived:  c.arrived,
 		Deadline: c.deadline,
 	}
-	if c.route.FirstToken > 0 {
-		ask.FirstTokenBy = c.arrived.Add(c.route.FirstToken)
+	if c.route.FirstTokenGoal > 0 {
+		ask.FirstTokenBy = c.arrived.Add(c.route.FirstTokenGoal)
 		if ask.FirstTokenBy.After(c.deadline) {
 			ask.FirstTokenBy = c.deadline
 		}
@@ -253,11 +253,11 @@
 // heldBack refuses a request that ends whatever runs it, at whichever instance and under
 // whichever id it comes again.
 func (s *Server) heldBack(c *call) *problem {
-	hold, held := s.Crashes.Held(c.fingerprint, c.id)
+	hold, held := s.Crashes.CheckQuarantine(c.fingerprint, c.id)
 	if !held {
 		return nil
 	}
-	return notRunProblem("held-back", fmt.Sprintf("%d targets have ended under this request", hold.Ends), hold.Left)
+	return notRunProblem("held-back", fmt.Sprintf("%d targets have ended under this request", hold.Crashes), hold.Remaining)
 }
 
 func (s *Server) askFailed(ctx context.Context, err error) *problem {
@@ -299,7 +299,7 @@
 	ticket.Done(completion)
 	switch {
 	case err == nil:
-		s.Crashes.Outlived(c.fingerprint)
+		s.Crashes.RequestCompleted(c.fingerprint)
 		return nil, false
 	case errors.Is(err, shelfshelf.ErrRejected):
 		return badRequest("rejected", "the engine does not take this request"), false
@@ -316,7 +316,7 @@
 		return p, false
 	}
 	if s.Witness != nil {
-		s.Witness.Broken(*target, c.fingerprint)
+		s.Witness.ResponseBroken(*target, c.fingerprint)
 	}
 	return p, false
 }
@@ -333,7 +333,7 @@
 	if first.IsZero() {
 		first = now
 	}
-	if now.After(c.deadline) || (c.route.FirstToken > 0 && first.Sub(c.arrived) > c.route.FirstToken) {
+	if now.After(c.deadline) || (c.route.FirstTokenGoal > 0 && first.Sub(c.arrived) > c.route.FirstTokenGoal) {
 		return ResultLate
 	}
 	return ResultGood
--- a/entry/server_test.go
+++ b/entry/server_test.go
@@ -101,10 +101,10 @@
 		Fit:       func() error { return nil },
 		NewID:     func() shelfshelf.RequestID { return "r" },
 	}
-	server.Crashes = &crashes.Record{Clock: server.Clock, Log: server.Log}
-	server.Witness = &crashes.Witness{
-		Clock: server.Clock, Log: server.Log, Record: server.Crashes, Target: server.Target,
-		Reach: func(context.Context, string) error { return syscall.ECONNREFUSED },
+	server.Crashes = &crashes.Tracker{Clock: server.Clock, Log: server.Log}
+	server.Witness = &crashes.Detector{
+		Clock: server.Clock, Log: server.Log, Record: server.Crashes, Lookup: server.Target,
+		Dial: func(context.Context, string) error { return syscall.ECONNREFUSED },
 	}
 	server.Apply(&bundle.Accepted{Bundle: parsed})
 	return server
--- a/evacuation.go
+++ b/evacuation.go
@@ -1,8 +1,8 @@
 package shelfshelf
 
-// Evacuated holds the data centres whose targets get no new requests because an operator evacuates
+// EvacuationState holds the data centres whose targets get no new requests because an operator evacuates
 // them.
-type Evacuated struct {
+type EvacuationState struct {
 	DataCentres []DataCentre
 	// AsOf is the position of the store at which the list was complete; 0 if nothing is known. A
 	// greater one is newer.
@@ -11,9 +11,9 @@
 
 // EvacuationUpdate is the part of one read of the store that concerns evacuations.
 type EvacuationUpdate struct {
-	// Whole is set if Begun is the full list of evacuated data centres, not only the changes.
-	Whole bool
-	Begun []DataCentre
+	// Full is set if Begun is the full list of evacuated data centres, not only the changes.
+	Full bool
+	Started []DataCentre
 	Ended []DataCentre
 	// AsOf is the position of the store up to which the update holds.
 	AsOf uint64
--- a/evacuation/record.go
+++ b/evacuation/record.go
@@ -17,14 +17,14 @@
 // storeSource names the store as the source of an update in logs.
 const storeSource = "source"
 
-// Record tracks the evacuated data centres. Its exported fields must be set before use. It is safe for
+// Tracker tracks the evacuated data centres. Its exported fields must be set before use. It is safe for
 // concurrent use.
-type Record struct {
+type Tracker struct {
 	Clock shelfshelf.Clock
 	Log   *log.Logger
-	// Changed is called without locks held whenever the set of evacuated data centres has changed,
+	// OnChange is called without locks held whenever the set of evacuated data centres has changed,
 	// with the new set.
-	Changed func(evacuated []shelfshelf.DataCentre)
+	OnChange func(evacuated []shelfshelf.DataCentre)
 
 	mu sync.Mutex
 	// stored holds the evacuations in the store as of position asOf. retained holds those that an
@@ -37,32 +37,32 @@
 }
 
 // Known reports whether any information about evacuations has been received.
-func (r *Record) Known() bool {
+func (r *Tracker) Known() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.asOf > 0
 }
 
-// Read applies the result of reading the store. An incremental update must start at or before the
-// position up to which the caller has already applied updates, through Read or Heard.
-func (r *Record) Read(update shelfshelf.EvacuationUpdate) {
+// ApplyStoreUpdate applies the result of reading the store. An incremental update must start at or before the
+// position up to which the caller has already applied updates, through ApplyStoreUpdate or Heard.
+func (r *Tracker) ApplyStoreUpdate(update shelfshelf.EvacuationUpdate) {
 	r.apply(update, storeSource)
 }
 
-// Heard merges the state received from another instance.
-func (r *Record) Heard(known shelfshelf.Evacuated, from string) {
-	r.apply(shelfshelf.EvacuationUpdate{Whole: true, Begun: known.DataCentres, AsOf: known.AsOf}, from)
+// Merge merges the state received from another instance.
+func (r *Tracker) Merge(known shelfshelf.EvacuationState, from string) {
+	r.apply(shelfshelf.EvacuationUpdate{Full: true, Started: known.DataCentres, AsOf: known.AsOf}, from)
 }
 
 // apply merges an update if its store position is newer than that of the current state.
-func (r *Record) apply(update shelfshelf.EvacuationUpdate, from string) {
+func (r *Tracker) apply(update shelfshelf.EvacuationUpdate, from string) {
 	r.mu.Lock()
 	if update.AsOf <= r.asOf {
 		r.mu.Unlock()
 		return
 	}
-	stored := slices.Clone(update.Begun)
-	if !update.Whole {
+	stored := slices.Clone(update.Started)
+	if !update.Full {
 		stored = append(stored, slices.DeleteFunc(slices.Clone(r.stored), func(centre shelfshelf.DataCentre) bool {
 			return slices.Contains(update.Ended, centre)
 		})...)
@@ -79,7 +79,7 @@
 
 // retainMissing keeps the current evacuations that the restored copy lacks until the grace period
 // ends. The caller must hold r.mu.
-func (r *Record) retainMissing(restored []shelfshelf.DataCentre) {
+func (r *Tracker) retainMissing(restored []shelfshelf.DataCentre) {
 	expiry := r.Clock.Now().Add(restoreGrace)
 	for _, centre := range r.stored {
 		if slices.Contains(restored, centre) {
@@ -92,18 +92,18 @@
 	}
 }
 
-// Told returns the snapshot to send to other instances: the store's state, without retained evacuations.
+// Snapshot returns the snapshot to send to other instances: the store's state, without retained evacuations.
 // It is called many times a second, so it also serves to expire retained evacuations.
-func (r *Record) Told() shelfshelf.Evacuated {
+func (r *Tracker) Snapshot() shelfshelf.EvacuationState {
 	r.notifyIfChanged(storeSource)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return shelfshelf.Evacuated{DataCentres: r.stored, AsOf: r.asOf}
+	return shelfshelf.EvacuationState{DataCentres: r.stored, AsOf: r.asOf}
 }
 
 // effective returns the data centres whose targets get no new requests, and drops expired retained
 // evacuations. The caller must hold r.mu.
-func (r *Record) effective() []shelfshelf.DataCentre {
+func (r *Tracker) effective() []shelfshelf.DataCentre {
 	if len(r.retained) == 0 {
 		return r.stored
 	}
@@ -122,7 +122,7 @@
 
 // notifyIfChanged calls Changed if the set of evacuated data centres has changed. The caller must not
 // hold r.mu.
-func (r *Record) notifyIfChanged(from string) {
+func (r *Tracker) notifyIfChanged(from string) {
 	r.mu.Lock()
 	evacuated := r.effective()
 	changed := !slices.Equal(evacuated, r.reported)
@@ -133,11 +133,11 @@
 		return
 	}
 	r.Log.Info("Evacuated data centres have changed.", "evacuated", evacuated, "asOf", asOf, "from", from)
-	r.Changed(evacuated)
+	r.OnChange(evacuated)
 }
 
-// Evacuated returns the number of evacuated data centres.
-func (r *Record) Evacuated() int {
+// Count returns the number of evacuated data centres.
+func (r *Tracker) Count() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.reported)
--- a/evacuation/record_test.go
+++ b/evacuation/record_test.go
@@ -14,12 +14,12 @@
 )
 
 // newRecord returns a record, its clock and the set that it last reported.
-func newRecord() (record *evacuation.Record, clock *clockwork.FakeClock, reported *[]shelfshelf.DataCentre) {
+func newRecord() (record *evacuation.Tracker, clock *clockwork.FakeClock, reported *[]shelfshelf.DataCentre) {
 	clock = clockwork.NewFakeClock()
 	reported = new([]shelfshelf.DataCentre)
-	record = &evacuation.Record{
+	record = &evacuation.Tracker{
 		Clock: clock, Log: log.New(io.Discard),
-		Changed: func(evacuated []shelfshelf.DataCentre) { *reported = evacuated },
+		OnChange: func(evacuated []shelfshelf.DataCentre) { *reported = evacuated },
 	}
 	return record, clock, reported
 }
@@ -37,17 +37,17 @@
 	if record.Known() {
 		t.Error("known before the first update")
 	}
-	record.Heard(shelfshelf.Evacuated{DataCentres: []shelfshelf.DataCentre{"b", "a"}, AsOf: 10}, "other")
+	record.Merge(shelfshelf.EvacuationState{DataCentres: []shelfshelf.DataCentre{"b", "a"}, AsOf: 10}, "other")
 	check("first update", "a", "b")
-	record.Read(shelfshelf.EvacuationUpdate{Whole: true, Begun: []shelfshelf.DataCentre{"c"}, AsOf: 9})
+	record.ApplyStoreUpdate(shelfshelf.EvacuationUpdate{Full: true, Started: []shelfshelf.DataCentre{"c"}, AsOf: 9})
 	check("older read", "a", "b")
-	record.Read(shelfshelf.EvacuationUpdate{Begun: []shelfshelf.DataCentre{"c"}, Ended: []shelfshelf.DataCentre{"a"}, AsOf: 12})
+	record.ApplyStoreUpdate(shelfshelf.EvacuationUpdate{Started: []shelfshelf.DataCentre{"c"}, Ended: []shelfshelf.DataCentre{"a"}, AsOf: 12})
 	check("incremental update", "b", "c")
-	record.Heard(shelfshelf.Evacuated{DataCentres: []shelfshelf.DataCentre{"a"}, AsOf: 12}, "other")
+	record.Merge(shelfshelf.EvacuationState{DataCentres: []shelfshelf.DataCentre{"a"}, AsOf: 12}, "other")
 	check("same position", "b", "c")
-	record.Read(shelfshelf.EvacuationUpdate{Whole: true, AsOf: 13})
+	record.ApplyStoreUpdate(shelfshelf.EvacuationUpdate{Full: true, AsOf: 13})
 	check("complete read without evacuations")
-	if got := record.Told(); got.AsOf != 13 || len(got.DataCentres) != 0 || !record.Known() {
+	if got := record.Snapshot(); got.AsOf != 13 || len(got.DataCentres) != 0 || !record.Known() {
 		t.Errorf("%+v", got)
 	}
 }
@@ -56,13 +56,13 @@
 // are not sent to other instances.
 func TestRestoredStoreEndsEvacuationsAfterGracePeriod(t *testing.T) {
 	record, clock, reported := newRecord()
-	record.Read(shelfshelf.EvacuationUpdate{Whole: true, Begun: []shelfshelf.DataCentre{"a"}, AsOf: 10})
-	record.Read(shelfshelf.EvacuationUpdate{Whole: true, AsOf: shelfshelf.PositionOf(1, 5)})
-	if !slices.Equal(*reported, []shelfshelf.DataCentre{"a"}) || len(record.Told().DataCentres) != 0 {
-		t.Errorf("reported %v, sent to others %+v", *reported, record.Told())
+	record.ApplyStoreUpdate(shelfshelf.EvacuationUpdate{Full: true, Started: []shelfshelf.DataCentre{"a"}, AsOf: 10})
+	record.ApplyStoreUpdate(shelfshelf.EvacuationUpdate{Full: true, AsOf: shelfshelf.PositionOf(1, 5)})
+	if !slices.Equal(*reported, []shelfshelf.DataCentre{"a"}) || len(record.Snapshot().DataCentres) != 0 {
+		t.Errorf("reported %v, sent to others %+v", *reported, record.Snapshot())
 	}
 	clock.Advance(6 * time.Second)
-	record.Told()
+	record.Snapshot()
 	if len(*reported) != 0 {
 		t.Errorf("%v", *reported)
 	}
--- a/gateway/buffered.go
+++ b/gateway/buffered.go
@@ -49,7 +49,7 @@
 
 // reserveBuffer reserves buffer space until the request ends, and reports whether there was room.
 func (c *request) reserveBuffer(bytes int64) bool {
-	if !c.server.buffered.reserve(bytes, c.server.MaxHeld) {
+	if !c.server.buffered.reserve(bytes, c.server.MaxBufferedBytes) {
 		return false
 	}
 	c.bufferedBytes += bytes
@@ -76,5 +76,5 @@
 	_ = http.NewResponseController(c.writer).SetWriteDeadline(time.Now().Add(timeout + writeGrace))
 }
 
-// Held returns the number of bytes buffered for callers and targets.
-func (s *Server) Held() int64 { return s.buffered.bytes.Load() }
+// BufferedBytes returns the number of bytes buffered for callers and targets.
+func (s *Server) BufferedBytes() int64 { return s.buffered.bytes.Load() }
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -12,12 +12,12 @@
 // instance receives it or which ID a retry has. Without this check, one request crashed 22 engines
 // within 14 s, each with up to six other streams.
 func (c *request) checkQuarantine() *refusal {
-	quarantine, quarantined := c.server.Crashes.Held(c.fingerprint, c.call.ID)
+	quarantine, quarantined := c.server.Crashes.CheckQuarantine(c.fingerprint, c.call.ID)
 	if !quarantined {
 		return nil
 	}
 	c.server.Metrics.countQuarantined()
-	return c.refusalFor(fmt.Sprintf("held back: %d targets have ended under this request", quarantine.Ends), quarantine.Left)
+	return c.refusalFor(fmt.Sprintf("held back: %d targets have ended under this request", quarantine.Crashes), quarantine.Remaining)
 }
 
 // checkForCrash asks the witness to check whether the target's process has ended, if the exchange
@@ -28,11 +28,11 @@
 	}
 	timedOut := errors.Is(err, errIdleTimeout) && !c.expired()
 	if timedOut || upstream.ClosedByTarget(err) {
-		c.server.Witness.Broken(lease.Target, c.fingerprint)
+		c.server.Witness.ResponseBroken(lease.Target, c.fingerprint)
 	}
 }
 
 // recordSurvived records that a target handled this request to the end, with any status.
 func (c *request) recordSurvived() {
-	c.server.Crashes.Outlived(c.fingerprint)
+	c.server.Crashes.RequestCompleted(c.fingerprint)
 }
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -97,7 +97,7 @@
 	}
 	if response.Answer.NotRun {
 		c.rejections++
-		lease.Release(balance.Result{Failed: true, Gone: response.Answer.OtherTarget, NotRun: response.Answer.NotRun})
+		lease.Release(balance.Result{Failed: true, AddressReused: response.Answer.Misdirected, NotRun: response.Answer.NotRun})
 		err = &statusError{answer: response.Answer}
 		c.recordFailedAttempt(lease, began, err)
 		return nil, err
@@ -118,7 +118,7 @@
 func (c *request) failPlainAttempt(lease *balance.Lease, began time.Time, err error) error {
 	c.mayHaveRun = true
 	callerGone := c.incoming.Context().Err() != nil
-	lease.Release(balance.Result{Failed: !callerGone, Left: callerGone})
+	lease.Release(balance.Result{Failed: !callerGone, CallerDisconnected: callerGone})
 	c.recordFailedAttempt(lease, began, err)
 	return err
 }
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -64,7 +64,7 @@
 	tokens       int
 	quotaVerdict quota.Verdict
 	// charge is the entry counted against the customer's quota.
-	charge quota.Entry
+	charge quota.Charge
 	// unsentAttempts counts attempts that did not reach a target.
 	unsentAttempts int
 
@@ -80,7 +80,7 @@
 	expectedTime   time.Duration
 	targetInFlight int
 	// lastAnswer is the information in the headers of the latest target response.
-	lastAnswer   shelfshelf.Answer
+	lastAnswer   shelfshelf.ResponseMetadata
 	cachedTokens int
 	// slotRequests is how many owners were sent a slot request for the latest lease. chosenLocally says
 	// that no owner granted it and this instance chose the target by what it knew.
@@ -155,7 +155,7 @@
 	}
 	if c.route != nil {
 		fields = append(fields, "route", c.route.Name)
-		if allowed := c.allowedRegions(); allowed.Bound {
+		if allowed := c.allowedRegions(); allowed.Restricted {
 			fields = append(fields, "homes", allowed.Regions)
 		}
 	}
@@ -168,7 +168,7 @@
 	}
 	if c.status == http.StatusTooManyRequests {
 		fields = append(fields, "allowed", c.quotaVerdict.Allowed, "used", c.quotaVerdict.Used, "share", c.quotaVerdict.Share,
-			"othersSoon", c.quotaVerdict.Expected, "resting", c.quotaVerdict.Resting, "retryAfter", c.quotaVerdict.Wait)
+			"othersSoon", c.quotaVerdict.ExpectedElsewhere, "resting", c.quotaVerdict.RecentlyRefused, "retryAfter", c.quotaVerdict.Wait)
 	}
 	if c.target != "" {
 		fields = append(fields, "target", c.target, "sent", c.sentAttempts, "turnedAway", c.rejections, "waited", c.queueTime,
@@ -177,10 +177,10 @@
 	if c.lastAnswer.LoadKnown {
 		fields = append(fields, "targetRunning", c.lastAnswer.Running, "targetWaiting", c.lastAnswer.Waiting)
 	}
-	if c.lastAnswer.Pace > 0 {
-		fields = append(fields, "targetPace", c.lastAnswer.Pace)
+	if c.lastAnswer.Slowdown > 0 {
+		fields = append(fields, "targetPace", c.lastAnswer.Slowdown)
 	}
-	if c.lastAnswer.Limit.Named {
+	if c.lastAnswer.Limit.Set {
 		fields = append(fields, "targetLimit", c.lastAnswer.Limit.PerSecond)
 	}
 	if c.lastAnswer.Leaving {
@@ -197,8 +197,8 @@
 
 // latencyGoal returns the response time within which a response has its full value.
 func (c *request) latencyGoal() time.Duration {
-	if c.route.Goal > 0 {
-		return c.route.Goal
+	if c.route.LatencyGoal > 0 {
+		return c.route.LatencyGoal
 	}
 	return defaultLatencyGoal
 }
@@ -217,23 +217,23 @@
 		Arrived:      c.arrived,
 		WaitUntil:    c.arrived.Add(maxQueueTime),
 		Deadline:     c.deadline,
-		Goal:         c.latencyGoal(),
+		LatencyGoal:         c.latencyGoal(),
 		Prompt:       c.call.Prompt,
 		PromptTokens: c.call.PromptTokens,
 		OutputTokens: output,
-		Avoid:        c.avoidTargets,
+		ExcludedTargets:        c.avoidTargets,
 		Route:        c.route.Name,
 	}
 	if c.customer != nil {
 		need.Rank = c.customer.Rank
 	}
-	if allowed := c.allowedRegions(); allowed.Bound {
-		need.Homes = &allowed
+	if allowed := c.allowedRegions(); allowed.Restricted {
+		need.AllowedRegions = &allowed
 	}
 	now := c.server.Clock.Now()
 	switch {
 	case c.possibleRuns() > 0:
-		need.Begun = true
+		need.Started = true
 		need.WaitUntil = now.Add(min(c.latencyGoal(), c.timeLeft()/2))
 	case c.unsentAttempts+c.rejections > 0:
 		// The time spent on failed attempts that did not run doesn't count as waiting time.
@@ -252,8 +252,8 @@
 		c.expectedTime = lease.Expected
 		c.targetInFlight = lease.InFlight
 		c.cachedTokens = lease.CachedTokens
-		c.slotRequests = lease.Asked
-		c.chosenLocally = lease.Alone
+		c.slotRequests = lease.OwnersAsked
+		c.chosenLocally = lease.WithoutOwner
 		return lease, nil
 	}
 	var refused *balance.Refusal
@@ -288,7 +288,7 @@
 // retryDelay returns the Retry-After for a request that has failed at its targets, which includes the
 // backoff of the targets.
 func (c *request) retryDelay() time.Duration {
-	return max(unavailableRetryAfter, c.server.Balancer.RestLeft(c.balancerNeed()))
+	return max(unavailableRetryAfter, c.server.Balancer.RequestedBackoffLeft(c.balancerNeed()))
 }
 
 // refusalFor returns the refusal of a request that no target has answered. It says that the request
@@ -334,24 +334,24 @@
 func (c *request) send(ctx context.Context, lease *balance.Lease, lastEventID string) (*upstream.Response, error) {
 	attempt := shelfshelf.Attempt{
 		Target:      lease.Target,
-		Left:        c.timeLeft(),
+		Timeout:        c.timeLeft(),
 		LastEventID: lastEventID,
 	}
 	if c.customer != nil {
 		attempt.Customer = c.customer.Name
 	}
 	if c.sentAttempts == 0 {
-		c.charge = c.server.Quota.Move(c.charge)
+		c.charge = c.server.Quota.Recharge(c.charge)
 	}
 	response, err := c.server.Upstream.Send(ctx, lease.Target.Address, upstream.Request{
 		ID:     c.call.ID,
-		To:     lease.Target,
+		Target:     lease.Target,
 		Method: c.incoming.Method,
-		Target: c.incoming.RequestURI,
+		RequestURI: c.incoming.RequestURI,
 		Host:   c.incoming.Host,
 		Header: c.server.Codec.AttemptHeader(c.incoming.Header, attempt),
 		Body:   c.body,
-		Fresh:  c.sentAttempts > 0,
+		NewConnection:  c.sentAttempts > 0,
 	})
 	if err == nil {
 		c.lastAnswer = response.Answer
@@ -372,9 +372,9 @@
 	}
 	var status *statusError
 	if errors.As(failure, &status) && status.answer.NotRun {
-		return c.rejections < maxRejections && c.server.Retries.Take(c.pool)
+		return c.rejections < maxRejections && c.server.Retries.TakeRetry(c.pool)
 	}
-	return c.possibleRuns() < c.route.MaxAttempts && c.server.Retries.Take(c.pool)
+	return c.possibleRuns() < c.route.MaxAttempts && c.server.Retries.TakeRetry(c.pool)
 }
 
 // possibleRuns returns the number of targets that may have run the request.
@@ -389,11 +389,11 @@
 	fields := []any{
 		"request", c.call.ID, "fingerprint", c.fingerprint, "target", lease.Target.Name,
 		"address", lease.Target.Address, "after", c.server.Clock.Now().Sub(began), "sent", c.sentAttempts,
-		"mayHaveRun", c.mayHaveRun, "passed", c.eventsSent, "asked", lease.Asked, "alone", lease.Alone, "error", cause,
+		"mayHaveRun", c.mayHaveRun, "passed", c.eventsSent, "asked", lease.OwnersAsked, "alone", lease.WithoutOwner, "error", cause,
 	}
 	var status *statusError
 	if errors.As(cause, &status) {
-		fields = append(fields, "targetLeaves", status.answer.Leaving, "targetRest", status.answer.Rest)
+		fields = append(fields, "targetLeaves", status.answer.Leaving, "targetRest", status.answer.RetryAfter)
 	}
 	c.server.Log.Warn("An attempt has failed.", fields...)
 	c.checkForCrash(lease, cause)
@@ -405,7 +405,7 @@
 
 // statusError is a target's response that counts as a failed attempt.
 type statusError struct {
-	answer shelfshelf.Answer
+	answer shelfshelf.ResponseMetadata
 }
 
 func (e *statusError) Error() string {
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -42,8 +42,8 @@
 	// Index returns the configuration in force, or nil, and the time at which it was last confirmed to
 	// be current.
 	Index() (*catalog.Index, time.Time)
-	// Superseded reports whether a newer configuration than the one in force is known to exist.
-	Superseded() bool
+	// HasNewerRevision reports whether a newer configuration than the one in force is known to exist.
+	HasNewerRevision() bool
 }
 
 // Server is the HTTP handler for callers' requests. Its exported fields must be set before use.
@@ -57,14 +57,14 @@
 	Quota    *quota.Ledger
 	Retries  *retrybudget.Budget
 	// Crashes records which requests were running when targets crashed. Witness detects such crashes.
-	Crashes *crashes.Record
-	Witness *crashes.Witness
+	Crashes *crashes.Tracker
+	Witness *crashes.Detector
 	Metrics *Metrics
-	// MaxHeld limits the bytes buffered over all requests; 0 means unlimited. Request bodies beyond it
+	// MaxBufferedBytes limits the bytes buffered over all requests; 0 means unlimited. Request bodies beyond it
 	// are refused. Plain responses count too, but are never refused.
-	MaxHeld int64
-	// Fit reports whether this instance may accept connections.
-	Fit func() bool
+	MaxBufferedBytes int64
+	// Ready reports whether this instance may accept connections.
+	Ready func() bool
 
 	// keyLease is the maximum age of the configuration for accepting keys. An older configuration may
 	// still hold a key that has been revoked.
@@ -99,7 +99,7 @@
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
-	if s.stopping.Load() || !s.Fit() {
+	if s.stopping.Load() || !s.Ready() {
 		// The caller's next connection reaches an instance that can serve it.
 		w.Header().Set("Connection", "close")
 	}
@@ -166,7 +166,7 @@
 // refuseUnknown refuses a request whose route or key is not in the configuration in force. If a newer
 // configuration is known to exist, the refusal is temporary, because callers don't retry a final one.
 func (c *request) refuseUnknown(status int, text string) *refusal {
-	if c.server.Catalog.Superseded() {
+	if c.server.Catalog.HasNewerRevision() {
 		return retryableRefusal(http.StatusServiceUnavailable, text+" yet: a newer configuration is known of", startingRetryAfter)
 	}
 	return finalRefusal(status, text)
@@ -175,7 +175,7 @@
 // checkPublicRoute refuses requests for a public route if a newer configuration exists that could not
 // be loaded for longer than the key lease. That configuration may send the route elsewhere.
 func (c *request) checkPublicRoute() *refusal {
-	if c.server.Catalog.Superseded() && !c.keysTrusted() {
+	if c.server.Catalog.HasNewerRevision() && !c.keysTrusted() {
 		return retryableRefusal(http.StatusServiceUnavailable, "a newer configuration is known of, and the one in force is too old", staleKeysRetryAfter)
 	}
 	return nil
@@ -189,7 +189,7 @@
 
 // readBody reads the whole body, which may have to be sent more than once.
 func (c *request) readBody() *refusal {
-	limit := c.index.Bundle.Callers.BodyBytes
+	limit := c.index.Bundle.CallerLimits.MaxBodyBytes
 	if limit == 0 {
 		limit = defaultMaxBodyBytes
 	}
@@ -217,7 +217,7 @@
 
 // setDeadline sets the request's deadline from the caller's timeout and the route's limit.
 func (c *request) setDeadline() {
-	timeout := c.call.Patience
+	timeout := c.call.Timeout
 	if timeout == 0 {
 		timeout = defaultCallerTimeout
 	}
@@ -233,15 +233,15 @@
 	if c.customer == nil {
 		return nil
 	}
-	c.tokens = c.customer.Limits.PlainTokens
-	if c.call.Counted {
+	c.tokens = c.customer.Limits.DefaultRequestTokens
+	if c.call.HasTokenCounts {
 		c.tokens = c.call.PromptTokens + c.call.MaxOutputTokens
 	}
 	c.quotaVerdict = c.server.Quota.Charge(c.customer, c.tokens)
 	if !c.quotaVerdict.OK {
 		return retryableRefusal(http.StatusTooManyRequests, "over the customer's limit", c.quotaVerdict.Wait)
 	}
-	c.charge = c.quotaVerdict.Entry
+	c.charge = c.quotaVerdict.Charge
 	return nil
 }
 
@@ -251,7 +251,7 @@
 	defer cancel()
 	c.ctx = ctx
 	c.pool = c.selectPool()
-	c.server.Retries.Request(c.pool)
+	c.server.Retries.CountRequest(c.pool)
 	if c.route.Kind == shelfshelf.RouteStream {
 		c.serveStream()
 		return
@@ -263,14 +263,14 @@
 // same pool.
 func (c *request) selectPool() shelfshelf.PoolName {
 	total := 0
-	for _, share := range c.route.Shares {
+	for _, share := range c.route.PoolShares {
 		total += max(share.Weight, 0)
 	}
 	if total == 0 {
 		return c.route.Pool
 	}
 	point := int(hashString(string(c.call.ID)) % uint64(total))
-	for _, share := range c.route.Shares {
+	for _, share := range c.route.PoolShares {
 		point -= max(share.Weight, 0)
 		if point < 0 {
 			return share.Pool
--- a/gateway/server_test.go
+++ b/gateway/server_test.go
@@ -61,15 +61,15 @@
 			t.Parallel()
 			clock := clockwork.NewFakeClock()
 			known := &catalog.Catalog{Clock: clock, Log: log.New(io.Discard), Source: singleConfigurationSource{configuration: configuration}}
-			if err := known.Offer(nil, clock.Now().Add(-c.age), "a test"); err != nil {
+			if err := known.OfferConfiguration(nil, clock.Now().Add(-c.age), "a test"); err != nil {
 				t.Fatal(err)
 			}
-			known.HeardOf(c.knownRevision)
+			known.RecordRevision(c.knownRevision)
 			ledger := &quota.Ledger{Clock: clock, Window: time.Second}
 			ledger.Start()
 			s := &gateway.Server{
 				Clock: clock, Log: log.New(io.Discard), Codec: platform.Headers{}, Catalog: known, Quota: ledger,
-				Metrics: gateway.NewMetrics(), Fit: func() bool { return true },
+				Metrics: gateway.NewMetrics(), Ready: func() bool { return true },
 			}
 			s.SetKeyLease(lease)
 			recorder := httptest.NewRecorder()
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -121,7 +121,7 @@
 	if callerGone {
 		err = errCallerGone
 	}
-	lease.Release(balance.Result{Failed: !callerGone, Left: callerGone, Unreachable: errors.Is(err, errIdleTimeout), Events: events})
+	lease.Release(balance.Result{Failed: !callerGone, CallerDisconnected: callerGone, Unreachable: errors.Is(err, errIdleTimeout), Events: events})
 	s.recordFailedAttempt(lease, began, err)
 	return err
 }
@@ -132,7 +132,7 @@
 	if err == nil && !response.Answer.NotRun {
 		s.recordSurvived()
 	}
-	lease.Release(balance.Result{Failed: true, Gone: response.Answer.OtherTarget, NotRun: response.Answer.NotRun})
+	lease.Release(balance.Result{Failed: true, AddressReused: response.Answer.Misdirected, NotRun: response.Answer.NotRun})
 	if err == nil && !response.Answer.NotRun && !s.headerWritten && response.Status < http.StatusInternalServerError {
 		s.mayHaveRun = true
 		s.writeResponse(plain)
@@ -166,7 +166,7 @@
 // idleTimeout returns the longest gap between events that is accepted after the first event.
 func (s *stream) idleTimeout() time.Duration {
 	if s.route.Resumable && s.possibleRuns() < s.route.MaxAttempts {
-		return max(idleTimeoutFactor*s.route.EventGap, minIdleTimeout)
+		return max(idleTimeoutFactor*s.route.MaxEventGap, minIdleTimeout)
 	}
 	return s.timeLeft()
 }
--- a/gossip/aggregate.go
+++ b/gossip/aggregate.go
@@ -163,11 +163,11 @@
 	return members
 }
 
-// Substitutes returns the instances that take over rate limiting for the targets of a data centre that
+// SubstituteMembers returns the instances that take over rate limiting for the targets of a data centre that
 // has had no instance for 30 s: the members of the first other data centre by name. It returns none
 // while an instance may still be there, reachable or not, since that instance may be granting the same
 // capacity.
-func (n *Node) Substitutes(centre shelfshelf.DataCentre) []shelfshelf.Member {
+func (n *Node) SubstituteMembers(centre shelfshelf.DataCentre) []shelfshelf.Member {
 	first, empty := n.firstDataCentre(centre)
 	if !empty {
 		return nil
@@ -203,9 +203,9 @@
 
 func hashInstanceID(id shelfshelf.InstanceID) uint64 { return xxhash.Sum64String(string(id)) }
 
-// HeardShare returns the share of this data centre's instances that are live. It counts this instance
+// LiveShare returns the share of this data centre's instances that are live. It counts this instance
 // and all others that existed within the last 30 s and have not said that they are leaving.
-func (n *Node) HeardShare() float64 {
+func (n *Node) LiveShare() float64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.Clock.Now()
--- a/gossip/aggregate_test.go
+++ b/gossip/aggregate_test.go
@@ -93,20 +93,20 @@
 	}
 	last, clock := newNodeWithPeers(47, 10)
 	markSourceLost(last, "o00", "o01")
-	if got := last.Pace(); got != 0 {
+	if got := last.StoreRetryInterval(); got != 0 {
 		t.Errorf("with 2 failing instances: %v", got)
 	}
 	markSourceLost(last, "o02")
-	if got := last.Pace(); got != 48*storeRetryIntervalPerInstance {
+	if got := last.StoreRetryInterval(); got != 48*storeRetryIntervalPerInstance {
 		t.Errorf("with 3 failing instances: %v", got)
 	}
 	clock.Advance(time.Minute)
-	if got := last.Pace(); got != 0 {
+	if got := last.StoreRetryInterval(); got != 0 {
 		t.Errorf("after the failing instances fell silent: %v", got)
 	}
 	third, _ := newNodeWithPeers(47, 98.5)
 	markSourceLost(third, "o00", "o01", "o02", "o03", "o04")
-	if got := third.Pace(); got != 0 {
+	if got := third.StoreRetryInterval(); got != 0 {
 		t.Errorf("one of the first three has a retry interval of %v", got)
 	}
 }
