--- a/gossip/directory.go
+++ b/gossip/directory.go
@@ -60,10 +60,10 @@
 	return nil
 }
 
-// Lost signals that recent writes may be missing from the directory, for example because the store was
+// CheckAnnouncement signals that recent writes may be missing from the directory, for example because the store was
 // restored from an older copy. An instance that registered recently then checks whether it is still
 // listed.
-func (n *Node) Lost() {
+func (n *Node) CheckAnnouncement() {
 	n.mu.Lock()
 	recent := !n.registeredAt.IsZero() && n.Clock.Now().Sub(n.registeredAt) < registrationLossWindow
 	n.mu.Unlock()
--- a/gossip/directory_test.go
+++ b/gossip/directory_test.go
@@ -135,7 +135,7 @@
 	clock := clockwork.NewFakeClock()
 	n := &Node{Clock: clock, Log: log.New(io.Discard), Self: shelfshelf.Instance{ID: "m", DataCentre: "dc", LinkMbps: 20}}
 	n.Init()
-	if s := n.Started(); s.Listed >= 0 {
+	if s := n.Started(); s.SinceDirectoryRead >= 0 {
 		t.Errorf("listed before the directory was read: %+v", s)
 	}
 	d := &countingDirectory{}
@@ -153,7 +153,7 @@
 		t.Fatal(err)
 	}
 	clock.Advance(time.Second)
-	if s := n.Started(); s.Listed != time.Second || s.Before != 2 {
+	if s := n.Started(); s.SinceDirectoryRead != time.Second || s.Preceding != 2 {
 		t.Errorf("%+v", s)
 	}
 }
--- a/gossip/exchange.go
+++ b/gossip/exchange.go
@@ -100,7 +100,7 @@
 // sendDigest sends this data centre's digest to an instance of another one.
 func (n *Node) sendDigest(k kind, to shelfshelf.InstanceID) {
 	status := n.Handler.Status()
-	status.Loads, status.Uses, status.EndedUses = nil, nil, nil
+	status.Loads, status.Usage, status.EndedUsage = nil, nil, nil
 	status.Crashes = n.Handler.Crashes(true)
 	digest := n.Handler.Digest()
 	now := n.Clock.Now()
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -52,13 +52,13 @@
 	// Digest returns the aggregated state of this data centre; Node fills in the data centre and its
 	// instances.
 	Digest() shelfshelf.Digest
-	// Heard processes the status of another instance: configuration, targets and, within the same data
+	// HandleStatus processes the status of another instance: configuration, targets and, within the same data
 	// centre, the sender's own load. The status is no older than at, an instant on this instance's
 	// clock; at is zero if its age is unknown.
-	Heard(status shelfshelf.Status, at time.Time)
-	// HeardDigest processes the digest of another data centre or, at a non-aggregator of a large data
+	HandleStatus(status shelfshelf.Status, at time.Time)
+	// HandleDigest processes the digest of another data centre or, at a non-aggregator of a large data
 	// centre, of this one.
-	HeardDigest(digest shelfshelf.Digest)
+	HandleDigest(digest shelfshelf.Digest)
 }
 
 // Node exchanges messages with the other instances. Its exported fields are set before Run.
@@ -73,16 +73,16 @@
 	Conn       net.PacketConn
 	Handler    Handler
 	Directory  shelfshelf.InstanceDirectory
-	// Centres are the data centres of the deployment; each has its own partition of the directory. If
+	// DataCentres are the data centres of the deployment; each has its own partition of the directory. If
 	// this instance's data centre is not among them, all instances share one partition.
-	Centres []shelfshelf.DataCentre
-	// Fetch asks the instance at an address for all instances that it knows. If it is nil, instances are
+	DataCentres []shelfshelf.DataCentre
+	// FetchInstances asks the instance at an address for all instances that it knows. If it is nil, instances are
 	// learnt from the directory only.
-	Fetch func(ctx context.Context, address string) ([]shelfshelf.Instance, error)
-	// Other handles datagrams of other protocols on the same socket, recognized by their first byte,
+	FetchInstances func(ctx context.Context, address string) ([]shelfshelf.Instance, error)
+	// HandleDatagram handles datagrams of other protocols on the same socket, recognized by their first byte,
 	// OtherMarker. If it is nil, there are none.
-	Other       func(content []byte, from netip.AddrPort)
-	OtherMarker byte
+	HandleDatagram       func(content []byte, from netip.AddrPort)
+	DatagramMarker byte
 
 	startedAt   time.Time
 	sendNow     chan struct{}
@@ -133,8 +133,8 @@
 	}
 }
 
-// Kick makes the next status be sent immediately, for example after a change that others wait for.
-func (n *Node) Kick() {
+// SendNow makes the next status be sent immediately, for example after a change that others wait for.
+func (n *Node) SendNow() {
 	select {
 	case n.sendNow <- struct{}{}:
 	default:
@@ -146,7 +146,7 @@
 	n.mu.Lock()
 	n.leaving = true
 	n.mu.Unlock()
-	n.Kick()
+	n.SendNow()
 }
 
 func (n *Node) receiveLoop(ctx context.Context) error {
@@ -161,7 +161,7 @@
 			n.Log.Debug("Reading a datagram failed.", "error", err)
 			continue
 		}
-		if n.Other != nil && size > 0 && buffer[0] == n.OtherMarker {
+		if n.HandleDatagram != nil && size > 0 && buffer[0] == n.DatagramMarker {
 			n.handleOther(buffer[:size], from)
 			continue
 		}
@@ -178,13 +178,13 @@
 func (n *Node) handleOther(content []byte, from net.Addr) {
 	if sender, ok := from.(*net.UDPAddr); ok {
 		address := sender.AddrPort()
-		n.Other(content, netip.AddrPortFrom(address.Addr().Unmap(), address.Port()))
+		n.HandleDatagram(content, netip.AddrPortFrom(address.Addr().Unmap(), address.Port()))
 	}
 }
 
-// SendOther sends a datagram, for example one of another protocol. A failed send is only logged:
+// SendDatagram sends a datagram, for example one of another protocol. A failed send is only logged:
 // datagrams may be lost on the way as well.
-func (n *Node) SendOther(to netip.AddrPort, content []byte) {
+func (n *Node) SendDatagram(to netip.AddrPort, content []byte) {
 	if _, err := n.Conn.WriteTo(content, net.UDPAddrFromAddrPort(to)); err != nil {
 		n.Log.Debug("Sending a datagram failed.", "to", to, "error", err)
 	}
@@ -221,9 +221,9 @@
 	if regained && n.isLocal(m.status.From) {
 		n.Log.Info("An instance is sending statuses.", "instance", id, "address", m.status.From.Address)
 	}
-	n.Handler.Heard(m.status, at)
+	n.Handler.HandleStatus(m.status, at)
 	for _, digest := range newDigests {
-		n.Handler.HeardDigest(digest)
+		n.Handler.HandleDigest(digest)
 	}
 	if m.kind == kindExchangeRequest {
 		n.sendDigest(kindExchangeReply, id)
@@ -334,10 +334,10 @@
 	}
 	if len(content) > maxDatagramBytes {
 		n.Log.Error("A message is too large to send.", "to", to, "bytes", len(content),
-			"loads", len(m.status.Loads), "uses", len(m.status.Uses), "digests", len(m.status.Digests))
+			"loads", len(m.status.Loads), "uses", len(m.status.Usage), "digests", len(m.status.Digests))
 		return
 	}
-	n.SendOther(to, content)
+	n.SendDatagram(to, content)
 }
 
 // jitter varies an interval by up to 15 %, so that instances that started together don't send together.
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -41,39 +41,39 @@
 				Revision:       shelfshelf.Revision(rapid.Uint64().Draw(t, "revision")),
 				RevisionAge:    time.Duration(rapid.Int64().Draw(t, "age")),
 				TargetsVersion: rapid.Uint64().Draw(t, "version"),
-				SourceLost:     rapid.Bool().Draw(t, "lost"),
-				Recalled:       rapid.Bool().Draw(t, "recalled"),
-				Settled:        rapid.Bool().Draw(t, "settled"),
+				StoreUnreachable:     rapid.Bool().Draw(t, "lost"),
+				UsageRestored:       rapid.Bool().Draw(t, "recalled"),
+				WindowObserved:        rapid.Bool().Draw(t, "settled"),
 				Loads:          loads,
-				Uses:           []shelfshelf.CustomerUse{{Customer: 7, Amount: 12}},
-				EndedUses:      []shelfshelf.CustomerUse{{Customer: 8, Amount: 3}},
+				Usage:           []shelfshelf.CustomerUsage{{Customer: 7, Amount: 12}},
+				EndedUsage:      []shelfshelf.CustomerUsage{{Customer: 8, Amount: 3}},
 				Speeds:         []shelfshelf.TargetSpeed{{Target: 9, PrefillRate: 12.5, Step: 4 * time.Millisecond}},
 				CrashesHash:    rapid.Uint64().Draw(t, "hash of crashes"),
 				Crashes: []shelfshelf.Crash{{
 					ID: shelfshelf.CrashID(rapid.Uint64().Draw(t, "crash")), Age: time.Second,
-					Runs: []shelfshelf.CrashedRun{{
-						Request: shelfshelf.Fingerprint(rapid.Uint64().Draw(t, "request")), Outlived: rapid.Bool().Draw(t, "outlived"),
+					Requests: []shelfshelf.InFlightRequest{{
+						Request: shelfshelf.Fingerprint(rapid.Uint64().Draw(t, "request")), Cleared: rapid.Bool().Draw(t, "outlived"),
 					}},
 				}},
 				Rollouts: []shelfshelf.Rollout{{
 					Pool: "p", Revision: rapid.Uint64().Draw(t, "revision of the rollout"), Version: "v2", Period: 12 * time.Second,
-					Age: time.Duration(rapid.Int64().Draw(t, "age of the rollout")), Moving: time.Second,
+					Age: time.Duration(rapid.Int64().Draw(t, "age of the rollout")), MovingFor: time.Second,
 					State:  shelfshelf.RolloutState(rapid.Uint8Range(0, 4).Draw(t, "state")),
-					Halted: rapid.Bool().Draw(t, "halted"), Stored: rapid.Uint64().Draw(t, "stored"),
-					Barred: []shelfshelf.TargetVersion{"v0", "v1"},
+					Halted: rapid.Bool().Draw(t, "halted"), RowVersion: rapid.Uint64().Draw(t, "stored"),
+					BarredVersions: []shelfshelf.TargetVersion{"v0", "v1"},
 				}},
-				OrdersAsOf: rapid.Uint64().Draw(t, "orders as of"),
-				Words: []shelfshelf.TargetWord{{
+				RolloutsAsOf: rapid.Uint64().Draw(t, "orders as of"),
+				Announcements: []shelfshelf.TargetAnnouncement{{
 					Target: 3, Version: rapid.Uint64().Draw(t, "limit"), Leaving: rapid.Bool().Draw(t, "leaving"),
-					Born:  time.UnixMilli(rapid.Int64Range(1, 1e15).Draw(t, "born")),
-					Limit: shelfshelf.RateLimit{Named: rapid.Bool().Draw(t, "named"), PerSecond: rapid.Float64Range(0, 1e6).Draw(t, "a second")},
+					StartedAt:  time.UnixMilli(rapid.Int64Range(1, 1e15).Draw(t, "born")),
+					Limit: shelfshelf.RateLimit{Set: rapid.Bool().Draw(t, "named"), PerSecond: rapid.Float64Range(0, 1e6).Draw(t, "a second")},
 				}},
 				Digests: []shelfshelf.Digest{{
 					DataCentre: "y", Age: time.Second, Instances: 3, Loads: loads,
 					Members: []shelfshelf.Member{{
 						Hash: rapid.Uint64().Draw(t, "hash"), Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, 2, 3}), rapid.Uint16().Draw(t, "port")),
 					}},
-					Uses: []shelfshelf.CustomerUse{{Customer: 7, Amount: 12}}, Speeds: []shelfshelf.TargetSpeed{},
+					Usage: []shelfshelf.CustomerUsage{{Customer: 7, Amount: 12}}, Speeds: []shelfshelf.TargetSpeed{},
 				}},
 			},
 			timestamp: time.Duration(rapid.Int64().Draw(t, "stamp")), echo: time.Second, echoIncarnation: 5,
@@ -125,7 +125,7 @@
 
 func (m *testInstance) Digest() shelfshelf.Digest { return shelfshelf.Digest{} }
 
-func (m *testInstance) Heard(status shelfshelf.Status, at time.Time) {
+func (m *testInstance) HandleStatus(status shelfshelf.Status, at time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !at.IsZero() {
@@ -133,7 +133,7 @@
 	}
 }
 
-func (m *testInstance) HeardDigest(digest shelfshelf.Digest) {
+func (m *testInstance) HandleDigest(digest shelfshelf.Digest) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.digests[digest.DataCentre]++
@@ -214,23 +214,23 @@
 	for _, m := range all {
 		eventually(t, "not all instances are counted as live", func() bool {
 			census := m.node.Census()
-			return census.Known == 6 && census.Heard == 6 && census.Local == 2
+			return census.Known == 6 && census.Live == 6 && census.LiveLocal == 2
 		})
 		eventually(t, "the digests of the other data centres have not arrived", func() bool {
 			m.mu.Lock()
 			defer m.mu.Unlock()
 			return len(m.digests) == 2
 		})
-		if want := m.id[1] == '0'; m.node.First() != want {
+		if want := m.id[1] == '0'; m.node.IsFirst() != want {
 			t.Errorf("%s comes first: %v", m.id, !want)
 		}
-		if want := m.id[0] != 'c'; m.node.LeadingCentre(2) != want {
+		if want := m.id[0] != 'c'; m.node.IsLeadingDataCentre(2) != want {
 			t.Errorf("%s is in a leading data centre: %v", m.id, !want)
 		}
 	}
 	stops[0]()
-	eventually(t, "the remaining instance does not come first", all[1].node.First)
-	eventually(t, "the stop of an instance is not noticed", func() bool { return all[1].node.Census().Local == 1 })
+	eventually(t, "the remaining instance does not come first", all[1].node.IsFirst)
+	eventually(t, "the stop of an instance is not noticed", func() bool { return all[1].node.Census().LiveLocal == 1 })
 }
 
 // A received status comes with a recent instant on the receiver's own clock that it is no older than.
@@ -282,13 +282,13 @@
 		digest.Members = append(digest.Members, shelfshelf.Member{Hash: math.MaxUint64, Address: netip.MustParseAddrPort("[2001:db8::1]:65000")})
 	}
 	for i := range customers {
-		digest.Uses = append(digest.Uses, shelfshelf.CustomerUse{Customer: shelfshelf.CustomerKey(math.MaxUint32 - i), Amount: 1 << 40})
+		digest.Usage = append(digest.Usage, shelfshelf.CustomerUsage{Customer: shelfshelf.CustomerKey(math.MaxUint32 - i), Amount: 1 << 40})
 	}
 	now := time.Now()
 	for i := range centres {
 		n.storeDigestOf(shelfshelf.DataCentre(fmt.Sprint("data centre ", i)), digest, now)
 	}
-	status := shelfshelf.Status{Loads: digest.Loads, Uses: digest.Uses}
+	status := shelfshelf.Status{Loads: digest.Loads, Usage: digest.Usage}
 	forwarded := make(map[shelfshelf.DataCentre]int)
 	for range centres {
 		status.Digests = n.takePendingDigests(now, maxDatagramBytes-maxStatusSize(status))
@@ -347,7 +347,7 @@
 				p.accept(message{status: shelfshelf.Status{From: from, Incarnation: 1, Revision: 1}}, now)
 				p.seen = true
 			}
-			if got := n.First(); got != c.want {
+			if got := n.IsFirst(); got != c.want {
 				t.Errorf("first: %v", got)
 			}
 		})
--- a/gossip/peers.go
+++ b/gossip/peers.go
@@ -73,9 +73,9 @@
 	p.timestamp = m.timestamp
 	p.lastSeen = now
 	p.instance = m.status.From
-	p.sourceLost = m.status.SourceLost
+	p.sourceLost = m.status.StoreUnreachable
 	p.revision = m.status.Revision
-	p.recalled = m.status.Recalled
+	p.recalled = m.status.UsageRestored
 	p.dormant = false
 	p.unanswered = 0
 	return true
@@ -182,11 +182,11 @@
 type Census struct {
 	// Known is the number of instances that exist or existed recently.
 	Known int
-	// Heard is the number of live instances: those with a recent status of their own or, in other data
+	// Live is the number of live instances: those with a recent status of their own or, in other data
 	// centres, counted in a recent digest.
-	Heard int
-	// Local is the number of live instances in this data centre.
-	Local int
+	Live int
+	// LiveLocal is the number of live instances in this data centre.
+	LiveLocal int
 }
 
 // Census counts the instances.
@@ -194,7 +194,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.Clock.Now()
-	census := Census{Known: 1, Heard: 1}
+	census := Census{Known: 1, Live: 1}
 	knownRemotes := make(map[shelfshelf.DataCentre]int)
 	for _, p := range n.peers {
 		if !n.isLocal(p.instance) {
@@ -205,10 +205,10 @@
 			census.Known++
 		}
 		if n.isLive(p, now) {
-			census.Heard++
+			census.Live++
 		}
 	}
-	census.Local = census.Heard
+	census.LiveLocal = census.Live
 	starting := now.Sub(n.startedAt) < SilentAfter
 	for centre, count := range knownRemotes {
 		c := n.dataCentres[centre]
@@ -221,17 +221,17 @@
 			continue
 		}
 		census.Known += c.digest.Instances
-		census.Heard += c.digest.Instances
+		census.Live += c.digest.Instances
 	}
 	return census
 }
 
-// First reports whether this instance comes first among the instances of its data centre that are live,
+// IsFirst reports whether this instance comes first among the instances of its data centre that are live,
 // have a configuration, aren't leaving and can read the store. Instances with wider links come first,
 // since the first one reads the store for the others: the whole configuration at each change. In a
 // simulation of 14 instances, 12 of them on 10 Mbit/s, 4,250 more routes were in force after 0.76 s
 // with a reader on 200 Mbit/s and after 1.86 s with one on 10 Mbit/s; 8,500 after 1.14 s and 3.22 s.
-func (n *Node) First() bool {
+func (n *Node) IsFirst() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.Clock.Now()
@@ -255,10 +255,10 @@
 	storeRetryIntervalPerInstance = 100 * time.Millisecond
 )
 
-// Pace returns the mean interval between reads of the store by this instance while reads fail for the
+// StoreRetryInterval returns the mean interval between reads of the store by this instance while reads fail for the
 // first few instances of its data centre. It returns 0 while they succeed, or if this instance is one of
 // the first few.
-func (n *Node) Pace() time.Duration {
+func (n *Node) StoreRetryInterval() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.Clock.Now()
@@ -289,51 +289,51 @@
 	return cmp.Or(cmp.Compare(b.LinkMbps, a.LinkMbps), cmp.Compare(a.ID, b.ID))
 }
 
-// Started describes what an instance that has just started knows of the others in its data centre.
-type Started struct {
+// StartupState describes what an instance that has just started knows of the others in its data centre.
+type StartupState struct {
 	// Running is the time since the start.
 	Running time.Duration
-	// Listed is the time since the directory was first read; negative if it has not been.
-	Listed time.Duration
-	// Before is the number of known instances of the data centre that come before this one (see
+	// SinceDirectoryRead is the time since the directory was first read; negative if it has not been.
+	SinceDirectoryRead time.Duration
+	// Preceding is the number of known instances of the data centre that come before this one (see
 	// compareInstances).
-	Before int
+	Preceding int
 }
 
 // Started returns how far this instance's start has progressed.
-func (n *Node) Started() Started {
+func (n *Node) Started() StartupState {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.Clock.Now()
-	started := Started{Running: now.Sub(n.startedAt), Listed: -1}
+	started := StartupState{Running: now.Sub(n.startedAt), SinceDirectoryRead: -1}
 	if !n.directoryReadAt.IsZero() {
-		started.Listed = now.Sub(n.directoryReadAt)
+		started.SinceDirectoryRead = now.Sub(n.directoryReadAt)
 	}
 	for _, p := range n.peers {
 		if n.isLocal(p.instance) && !p.dormant && p.instance.State != shelfshelf.InstanceLeaving && n.precedesSelf(p.instance) {
-			started.Before++
+			started.Preceding++
 		}
 	}
 	return started
 }
 
-// Knowing returns the addresses of the live instances of this data centre whose latest status matches a
+// AddressesWhere returns the addresses of the live instances of this data centre whose latest status matches a
 // condition.
-func (n *Node) Knowing(matches func(Told) bool) []string {
+func (n *Node) AddressesWhere(matches func(PeerKnowledge) bool) []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.Clock.Now()
 	var addresses []string
 	for _, p := range n.peers {
-		if n.isLocal(p.instance) && n.isLive(p, now) && matches(Told{Revision: p.revision, Recalled: p.recalled}) {
+		if n.isLocal(p.instance) && n.isLive(p, now) && matches(PeerKnowledge{Revision: p.revision, Recalled: p.recalled}) {
 			addresses = append(addresses, p.instance.Address)
 		}
 	}
 	return addresses
 }
 
-// Local reports whether an address belongs to another instance of this data centre.
-func (n *Node) Local(address string) bool {
+// IsLocalAddress reports whether an address belongs to another instance of this data centre.
+func (n *Node) IsLocalAddress(address string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, p := range n.peers {
@@ -344,14 +344,14 @@
 	return false
 }
 
-// Told is the part of an instance's latest status that says what it knows.
-type Told struct {
+// PeerKnowledge is the part of an instance's latest status that says what it knows.
+type PeerKnowledge struct {
 	Revision shelfshelf.Revision
 	Recalled bool
 }
 
-// LeadingCentre reports whether this data centre is among the first count live data centres by name.
-func (n *Node) LeadingCentre(count int) bool {
+// IsLeadingDataCentre reports whether this data centre is among the first count live data centres by name.
+func (n *Node) IsLeadingDataCentre(count int) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.Clock.Now()
--- a/gossip/remote_instances.go
+++ b/gossip/remote_instances.go
@@ -23,7 +23,7 @@
 // directoryPartition returns the partition of the directory that holds a data centre's instances. The
 // platform writes the rows of a partition one after the other, so a large fleet needs several.
 func (n *Node) directoryPartition(centre shelfshelf.DataCentre) string {
-	if !slices.Contains(n.Centres, n.Self.DataCentre) {
+	if !slices.Contains(n.DataCentres, n.Self.DataCentre) {
 		return ""
 	}
 	return string(centre)
@@ -40,7 +40,7 @@
 		n.sleep(ctx, remoteDiscoveryDelay-n.Clock.Now().Sub(n.startedAt))
 	}
 	for began := n.Clock.Now(); ctx.Err() == nil; n.sleep(ctx, remoteReadStagger) {
-		delay := time.Duration(n.Started().Before) * remoteReadStagger
+		delay := time.Duration(n.Started().Preceding) * remoteReadStagger
 		if delay > 0 && n.fetchRemotes(ctx) {
 			return nil
 		}
@@ -53,7 +53,7 @@
 
 // readRemoteDirectories reads the other data centres' partitions of the directory.
 func (n *Node) readRemoteDirectories(ctx context.Context) error {
-	for _, centre := range n.Centres {
+	for _, centre := range n.DataCentres {
 		if centre == n.Self.DataCentre {
 			continue
 		}
@@ -69,10 +69,10 @@
 // reports whether it answered.
 func (n *Node) fetchRemotes(ctx context.Context) bool {
 	address, found := n.firstLiveLocal()
-	if n.Fetch == nil || !found {
+	if n.FetchInstances == nil || !found {
 		return false
 	}
-	instances, err := n.Fetch(ctx, address)
+	instances, err := n.FetchInstances(ctx, address)
 	if err != nil {
 		return false
 	}
--- a/gossip/wire.go
+++ b/gossip/wire.go
@@ -129,8 +129,8 @@
 
 // maxStatusSize returns an upper bound on the encoded size of a status without its digests, in bytes.
 func maxStatusSize(s shelfshelf.Status) int {
-	return maxEnvelopeSize + maxLoadSize*len(s.Loads) + maxUseSize*(len(s.Uses)+len(s.EndedUses)) + maxSpeedSize*len(s.Speeds) +
-		maxNamesSize(s.Evacuated.DataCentres) + announced.WireSize*len(s.Words) + crashes.WireSize(s.Crashes) + rollout.WireSize(s.Rollouts)
+	return maxEnvelopeSize + maxLoadSize*len(s.Loads) + maxUseSize*(len(s.Usage)+len(s.EndedUsage)) + maxSpeedSize*len(s.Speeds) +
+		maxNamesSize(s.Evacuation.DataCentres) + announced.WireSize*len(s.Announcements) + crashes.WireSize(s.Crashes) + rollout.WireSize(s.Rollouts)
 }
 
 // maxNamesSize returns an upper bound on the encoded size of names of data centres, in bytes.
@@ -144,7 +144,7 @@
 
 // maxDigestSize returns an upper bound on the encoded size of a digest, in bytes.
 func maxDigestSize(d shelfshelf.Digest) int {
-	return maxEnvelopeSize + maxMemberSize*len(d.Members) + maxLoadSize*len(d.Loads) + maxUseSize*len(d.Uses) + maxSpeedSize*len(d.Speeds)
+	return maxEnvelopeSize + maxMemberSize*len(d.Members) + maxLoadSize*len(d.Loads) + maxUseSize*len(d.Usage) + maxSpeedSize*len(d.Speeds)
 }
 
 func encode(m message) ([]byte, error) {
@@ -166,30 +166,30 @@
 		TargetsVersion:  s.TargetsVersion,
 		TargetsAge:      int64(s.TargetsAge),
 		LinkMbps:        s.From.LinkMbps,
-		SourceLost:      s.SourceLost,
-		Settled:         s.Settled,
-		Recalled:        s.Recalled,
+		SourceLost:      s.StoreUnreachable,
+		Settled:         s.WindowObserved,
+		Recalled:        s.UsageRestored,
 		Loads:           loadsToWire(s.Loads),
-		Uses:            usesToWire(s.Uses),
-		EndedUses:       usesToWire(s.EndedUses),
+		Uses:            usesToWire(s.Usage),
+		EndedUses:       usesToWire(s.EndedUsage),
 		Speeds:          speedsToWire(s.Speeds),
 		CrashesHash:     s.CrashesHash,
 		Crashes:         crashes.ToWire(s.Crashes),
 		Rollouts:        rollout.ToWire(s.Rollouts),
-		OrdersAsOf:      s.OrdersAsOf,
-		Words:           announced.ToWire(s.Words),
-		Evacuated:       namesToWire(s.Evacuated.DataCentres),
-		EvacuatedAsOf:   s.Evacuated.AsOf,
+		OrdersAsOf:      s.RolloutsAsOf,
+		Words:           announced.ToWire(s.Announcements),
+		Evacuated:       namesToWire(s.Evacuation.DataCentres),
+		EvacuatedAsOf:   s.Evacuation.AsOf,
 	}
 	for _, digest := range s.Digests {
 		wire.Digests = append(wire.Digests, wireDigest{
 			DataCentre: string(digest.DataCentre),
 			Age:        int64(digest.Age),
 			Instances:  digest.Instances,
-			Settled:    digest.Settled,
+			Settled:    digest.WindowObserved,
 			Members:    membersToWire(digest.Members),
 			Loads:      loadsToWire(digest.Loads),
-			Uses:       usesToWire(digest.Uses),
+			Uses:       usesToWire(digest.Usage),
 			Speeds:     speedsToWire(digest.Speeds),
 		})
 	}
@@ -221,19 +221,19 @@
 			RevisionAge:    time.Duration(wire.RevisionAge),
 			TargetsVersion: wire.TargetsVersion,
 			TargetsAge:     time.Duration(wire.TargetsAge),
-			SourceLost:     wire.SourceLost,
-			Settled:        wire.Settled,
-			Recalled:       wire.Recalled,
+			StoreUnreachable:     wire.SourceLost,
+			WindowObserved:        wire.Settled,
+			UsageRestored:       wire.Recalled,
 			Loads:          loadsFromWire(wire.Loads),
-			Uses:           usesFromWire(wire.Uses),
-			EndedUses:      usesFromWire(wire.EndedUses),
+			Usage:           usesFromWire(wire.Uses),
+			EndedUsage:      usesFromWire(wire.EndedUses),
 			Speeds:         speedsFromWire(wire.Speeds),
 			CrashesHash:    wire.CrashesHash,
 			Crashes:        crashes.FromWire(wire.Crashes),
 			Rollouts:       rollout.FromWire(wire.Rollouts),
-			OrdersAsOf:     wire.OrdersAsOf,
-			Words:          announced.FromWire(wire.Words),
-			Evacuated:      shelfshelf.Evacuated{DataCentres: namesFromWire(wire.Evacuated), AsOf: wire.EvacuatedAsOf},
+			RolloutsAsOf:     wire.OrdersAsOf,
+			Announcements:          announced.FromWire(wire.Words),
+			Evacuation:      shelfshelf.EvacuationState{DataCentres: namesFromWire(wire.Evacuated), AsOf: wire.EvacuatedAsOf},
 		},
 		timestamp:       time.Duration(wire.Timestamp),
 		echo:            time.Duration(wire.Echo),
@@ -244,10 +244,10 @@
 			DataCentre: shelfshelf.DataCentre(digest.DataCentre),
 			Age:        time.Duration(digest.Age),
 			Instances:  digest.Instances,
-			Settled:    digest.Settled,
+			WindowObserved:    digest.Settled,
 			Members:    membersFromWire(digest.Members),
 			Loads:      loadsFromWire(digest.Loads),
-			Uses:       usesFromWire(digest.Uses),
+			Usage:       usesFromWire(digest.Uses),
 			Speeds:     speedsFromWire(digest.Speeds),
 		})
 	}
@@ -319,7 +319,7 @@
 	return loads
 }
 
-func usesToWire(uses []shelfshelf.CustomerUse) []wireUse {
+func usesToWire(uses []shelfshelf.CustomerUsage) []wireUse {
 	wire := make([]wireUse, len(uses))
 	for i, use := range uses {
 		wire[i] = wireUse{Customer: uint32(use.Customer), Amount: int64(use.Amount)}
@@ -327,10 +327,10 @@
 	return wire
 }
 
-func usesFromWire(wire []wireUse) []shelfshelf.CustomerUse {
-	uses := make([]shelfshelf.CustomerUse, len(wire))
+func usesFromWire(wire []wireUse) []shelfshelf.CustomerUsage {
+	uses := make([]shelfshelf.CustomerUsage, len(wire))
 	for i, use := range wire {
-		uses[i] = shelfshelf.CustomerUse{Customer: shelfshelf.CustomerKey(use.Customer), Amount: float64(use.Amount)}
+		uses[i] = shelfshelf.CustomerUsage{Customer: shelfshelf.CustomerKey(use.Customer), Amount: float64(use.Amount)}
 	}
 	return uses
 }
--- a/instance/core.go
+++ b/instance/core.go
@@ -136,12 +136,12 @@
 // buildCrashes ties in what is known of requests under which targets have ended.
 func (c *Core) buildCrashes() {
 	logger := c.Log.WithPrefix("crashes")
-	record := &crashes.Record{Clock: c.Clock, Log: logger, Self: c.ID}
+	record := &crashes.Tracker{Clock: c.Clock, Log: logger, Self: c.ID}
 	c.Server.Crashes = record
-	c.Members.Crashes = func() []shelfshelf.Crash { return record.News(false) }
-	c.Members.CrashesHeard = func(told []shelfshelf.Crash) { record.Heard(told, false) }
+	c.Members.Crashes = func() []shelfshelf.Crash { return record.Updates(false) }
+	c.Members.CrashesHeard = func(told []shelfshelf.Crash) { record.Merge(told, false) }
 	if c.Reach != nil {
-		c.Server.Witness = &crashes.Witness{Clock: c.Clock, Log: logger, Record: record, Reach: c.Reach, Target: c.target}
+		c.Server.Witness = &crashes.Detector{Clock: c.Clock, Log: logger, Record: record, Dial: c.Reach, Lookup: c.target}
 	}
 }
 
--- a/instance/crashes_test.go
+++ b/instance/crashes_test.go
@@ -25,10 +25,10 @@
 	const deadly = shelfshelf.Fingerprint(1)
 	for i := range 3 {
 		target := shelfshelf.Target{Name: shelfshelf.TargetName(fmt.Sprint("t", i))}
-		cores[0].Server.Crashes.Ended(target, []shelfshelf.Fingerprint{deadly}, clock.Now())
+		cores[0].Server.Crashes.RecordCrash(target, []shelfshelf.Fingerprint{deadly}, clock.Now())
 	}
 	cores[1].PeerHandler().Heard(cores[0].Members.Beat())
-	if _, held := cores[1].Server.Crashes.Held(deadly, "r"); !held {
+	if _, held := cores[1].Server.Crashes.CheckQuarantine(deadly, "r"); !held {
 		t.Error("the other instance lets it through")
 	}
 }
--- a/node/build.go
+++ b/node/build.go
@@ -25,18 +25,18 @@
 
 // build makes the parts and ties them together.
 func (n *Node) build() error {
-	n.rollouts = &rollout.Record{
+	n.rollouts = &rollout.Tracker{
 		Clock: n.Clock, Log: n.Log.WithPrefix("rollout"), Bounds: rollout.Bounds(n.Settings.Rollout),
-		Instances: n.instances, Changed: n.rolloutChanged,
+		Instances: n.instances, OnChange: n.rolloutChanged,
 	}
-	n.evacuations = &evacuation.Record{Clock: n.Clock, Log: n.Log.WithPrefix("evacuation"), Changed: n.evacuated}
+	n.evacuations = &evacuation.Tracker{Clock: n.Clock, Log: n.Log.WithPrefix("evacuation"), OnChange: n.evacuated}
 	n.catalog = &catalog.Catalog{
-		Ordered: n.ordered, Evacuations: n.evacuations.Read, Returned: n.storeReturned,
+		OnRollouts: n.ordered, OnEvacuations: n.evacuations.ApplyStoreUpdate, OnRestore: n.storeReturned,
 		Clock: n.Clock, Log: n.Log.WithPrefix("catalog"), Source: n.Platform.Catalog,
-		Follow: n.follow, Begin: n.readsAtStart, Pace: n.pace, Changed: n.changed,
-		ConfirmPeriod: func() time.Duration { return n.leaseShare(confirmShare) },
+		ReadAge: n.follow, MayReadAtStart: n.readsAtStart, OutageReadInterval: n.pace, OnChange: n.changed,
+		PollTimeout: func() time.Duration { return n.leaseShare(confirmShare) },
 	}
-	n.words = &announced.Record{Clock: n.Clock, Log: n.Log.WithPrefix("announced"), Changed: n.wordChanged}
+	n.words = &announced.Tracker{Clock: n.Clock, Log: n.Log.WithPrefix("announced"), OnChange: n.wordChanged}
 	n.balancer = &balance.Balancer{
 		Clock:      n.Clock,
 		DataCentre: n.Settings.DataCentre,
@@ -44,32 +44,32 @@
 		Self:       n.Settings.Instance,
 		Fleet:      n,
 		Rollouts:   n.rollouts,
-		Announced:  n.words,
+		Announcements:  n.words,
 	}
-	n.rollouts.Running = n.balancer.Running
+	n.rollouts.Running = n.balancer.InFlightByVersion
 	n.quota = &quota.Ledger{
 		Clock:      n.Clock,
 		DataCentre: n.Settings.DataCentre,
 		Window:     n.Settings.Quota.Window,
 		Slack:      n.Settings.Quota.Slack,
 		Instances:  n.census,
-		Delay:      n.SpreadTime,
+		ReportDelay:      n.PropagationDelay,
 	}
 	n.quota.Start()
-	n.keeper = &quota.Keeper{
-		Clock: n.Clock, Log: n.Log.WithPrefix("quota"), Ledger: n.quota, Store: &startUses{node: n}, Due: n.leads,
+	n.keeper = &quota.UsageSaver{
+		Clock: n.Clock, Log: n.Log.WithPrefix("quota"), Ledger: n.quota, Store: &startUses{node: n}, IsSaver: n.leads,
 	}
 	n.metrics = gateway.NewMetrics()
 	n.buildCrashes()
 	n.relay = &relay.Relay{
-		Clock: n.Clock, Log: n.Log.WithPrefix("relay"), Catalog: n.catalog, Uses: n.quota.Known, Crashes: n.crashKeeper.Known,
-		Fetched: n.metrics.Fetched, Dial: n.Sockets.Dial,
+		Clock: n.Clock, Log: n.Log.WithPrefix("relay"), Catalog: n.catalog, Usage: n.quota.UsageForRestore, Crashes: n.crashKeeper.Crashes,
+		OnFetch: n.metrics.Fetched, Dial: n.Sockets.Dial,
 	}
 	n.relay.Init()
 	if err := n.buildGossip(); err != nil {
 		return err
 	}
-	n.keeper.Recalled = n.gossip.Kick
+	n.keeper.OnRestored = n.gossip.SendNow
 	if err := n.buildPlaces(); err != nil {
 		return err
 	}
@@ -82,26 +82,26 @@
 // buildCrashes makes the parts that know under which requests targets have ended.
 func (n *Node) buildCrashes() {
 	logger := n.Log.WithPrefix("crashes")
-	n.crashes = &crashes.Record{Clock: n.Clock, Log: logger, Self: n.Settings.Instance}
-	n.crashKeeper = &crashes.Keeper{
-		Clock: n.Clock, Log: logger, Record: n.crashes, Store: &startCrashes{node: n}, Due: n.leads,
+	n.crashes = &crashes.Tracker{Clock: n.Clock, Log: logger, Self: n.Settings.Instance}
+	n.crashKeeper = &crashes.Saver{
+		Clock: n.Clock, Log: logger, Record: n.crashes, Store: &startCrashes{node: n}, IsSaver: n.leads,
 		Fetch: func(ctx context.Context, address string) ([]shelfshelf.Crash, error) {
 			return n.relay.FetchCrashes(ctx, address)
 		},
 	}
 	n.crashKeeper.Init()
-	n.upstream = &upstream.Client{Clock: n.Clock, Codec: n.Platform.Codec, Answered: n.words.Answered}
+	n.upstream = &upstream.Client{Clock: n.Clock, Codec: n.Platform.Codec, OnAnswer: n.words.ObserveResponse}
 	if _, system := n.Sockets.(*systemSockets); !system {
 		n.upstream.Dial = n.Sockets.Dial
 	}
-	n.witness = &crashes.Witness{
-		Clock: n.Clock, Log: logger, Record: n.crashes, Reach: n.upstream.Reach, Target: n.target,
+	n.witness = &crashes.Detector{
+		Clock: n.Clock, Log: logger, Record: n.crashes, Dial: n.upstream.Preconnect, Lookup: n.target,
 	}
-	n.metrics.Gauge("shelf_data_centres_evacuated", func() float64 { return float64(n.evacuations.Evacuated()) })
+	n.metrics.Gauge("shelf_data_centres_evacuated", func() float64 { return float64(n.evacuations.Count()) })
 	n.metrics.Gauge("shelf_targets_limited", func() float64 { return float64(n.words.Limited()) })
 	n.metrics.Gauge("shelf_targets_leaving", func() float64 { return float64(n.words.Leaving()) })
 	n.metrics.Gauge("shelf_targets_resting", func() float64 { return float64(n.words.Resting()) })
-	n.metrics.Gauge("shelf_requests_held_back", func() float64 { return float64(n.crashes.HeldBack()) })
+	n.metrics.Gauge("shelf_requests_held_back", func() float64 { return float64(n.crashes.QuarantinedCount()) })
 }
 
 // buildGossip makes the part that tells the other instances and hears them.
@@ -125,8 +125,8 @@
 		Conn:        datagrams,
 		Handler:     n,
 		Directory:   n.Platform.Directory,
-		Centres:     slices.Sorted(maps.Keys(n.Settings.Regions)),
-		Fetch:       n.relay.FetchInstances,
+		DataCentres:     slices.Sorted(maps.Keys(n.Settings.Regions)),
+		FetchInstances:       n.relay.FetchInstances,
 	}
 	n.relay.Instances = n.gossip.Instances
 	n.gossip.Init()
@@ -151,17 +151,17 @@
 			Instances: n.instances,
 		},
 		Metrics: n.metrics,
-		Fit:     n.fit,
-		MaxHeld: int64(heldShare * float64(n.Settings.MemoryMB<<20)),
+		Ready:     n.fit,
+		MaxBufferedBytes: int64(heldShare * float64(n.Settings.MemoryMB<<20)),
 	}
-	n.metrics.Gauge("shelf_held_bytes", func() float64 { return float64(n.gateway.Held()) })
+	n.metrics.Gauge("shelf_held_bytes", func() float64 { return float64(n.gateway.BufferedBytes()) })
 	n.metrics.Gauge("shelf_requests_in_flight", func() float64 { return float64(n.gateway.InFlight()) })
 	n.metrics.Gauge("shelf_requests_waiting", func() float64 { return float64(n.balancer.Waiting()) })
 	n.metrics.Gauge("shelf_configuration_age_seconds", func() float64 {
 		_, at := n.catalog.Index()
 		return n.Clock.Now().Sub(at).Seconds()
 	})
-	n.metrics.Gauge("shelf_unreadable_targets", func() float64 { return float64(n.catalog.Unreadable()) })
+	n.metrics.Gauge("shelf_unreadable_targets", func() float64 { return float64(n.catalog.UnreadableCount()) })
 	n.metrics.Gauge("shelf_configuration_bytes", func() float64 {
 		index, _ := n.catalog.Index()
 		if index == nil {
--- a/node/export_test.go
+++ b/node/export_test.go
@@ -23,18 +23,18 @@
 
 // TargetEnded notes that a target ended under a request, as an instance that saw it does.
 func TargetEnded(n *Node, target shelfshelf.TargetName, request shelfshelf.Fingerprint) {
-	n.crashes.Ended(shelfshelf.Target{Name: target}, []shelfshelf.Fingerprint{request}, n.Clock.Now())
+	n.crashes.RecordCrash(shelfshelf.Target{Name: target}, []shelfshelf.Fingerprint{request}, n.Clock.Now())
 }
 
 // HoldsBack reports that an instance refuses a request.
 func HoldsBack(n *Node, request shelfshelf.Fingerprint) bool {
-	_, held := n.crashes.Held(request, "r")
+	_, held := n.crashes.CheckQuarantine(request, "r")
 	return held
 }
 
 // OwnsTarget reports that one gives out the places of a target.
 func OwnsTarget(n *Node, target shelfshelf.TargetName) bool {
 	key := shelfshelf.KeyOfTarget(target)
-	centre, known := n.balancer.Where(key)
+	centre, known := n.balancer.DataCentreOf(key)
 	return known && n.places.Owns(key, centre)
 }
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -11,9 +11,9 @@
 // then the first of each data centre, then everyone.
 func (n *Node) follow() time.Duration {
 	switch {
-	case !n.gossip.First():
+	case !n.gossip.IsFirst():
 		return n.leaseShare(othersFollowShare)
-	case n.gossip.LeadingCentre(leadingCentres):
+	case n.gossip.IsLeadingDataCentre(leadingCentres):
 		return 0
 	}
 	return n.leaseShare(firstsFollowShare)
@@ -22,35 +22,35 @@
 // pace is the mean time between two reads of the store by this instance while the store
 // fails those that go before it.
 func (n *Node) pace() time.Duration {
-	return n.gossip.Pace()
+	return n.gossip.StoreRetryInterval()
 }
 
 // leads reports that this instance does what one of all has to do.
 func (n *Node) leads() bool {
-	return n.gossip.First() && n.gossip.LeadingCentre(1) && !n.stopping.Load()
+	return n.gossip.IsFirst() && n.gossip.IsLeadingDataCentre(1) && !n.stopping.Load()
 }
 
 // Status returns what this instance tells the others.
 func (n *Node) Status() shelfshelf.Status {
 	now := n.Clock.Now()
 	status := shelfshelf.Status{
-		SourceLost: n.catalog.SourceLost(),
-		Settled:    n.quota.Settled(),
-		Recalled:   n.quota.Recalled(),
-		Loads:      n.balancer.Own(),
-		Uses:       n.quota.Own(),
-		EndedUses:  n.quota.Ended(),
+		StoreUnreachable: n.catalog.SourceLost(),
+		WindowObserved:    n.quota.WindowObserved(),
+		UsageRestored:   n.quota.Restored(),
+		Loads:      n.balancer.LocalLoads(),
+		Usage:       n.quota.LocalUsage(),
+		EndedUsage:  n.quota.EndedUsage(),
 		// Those that know the same of targets that ended say so with one number.
 		CrashesHash: n.crashes.Hash(),
-		Words:       n.words.Told(),
+		Announcements:       n.words.ForStatus(),
 	}
-	status.Rollouts, status.OrdersAsOf = n.rollouts.Told()
-	status.Evacuated = n.evacuations.Told()
+	status.Rollouts, status.RolloutsAsOf = n.rollouts.Snapshot()
+	status.Evacuation = n.evacuations.Snapshot()
 	if index, at := n.catalog.Index(); index != nil {
 		status.Revision = index.Revision
 		status.RevisionAge = now.Sub(at)
 	}
-	if version, at := n.catalog.TargetsKnown(); !at.IsZero() {
+	if version, at := n.catalog.TargetsVersion(); !at.IsZero() {
 		status.TargetsVersion = version
 		status.TargetsAge = now.Sub(at)
 	}
@@ -65,45 +65,45 @@
 
 // Crashes returns what this instance has learnt lately of targets that ended.
 func (n *Node) Crashes(wide bool) []shelfshelf.Crash {
-	return n.crashes.News(wide)
+	return n.crashes.Updates(wide)
 }
 
 // Digest returns what this instance knows of its data centre.
 func (n *Node) Digest() shelfshelf.Digest {
 	return shelfshelf.Digest{
-		Settled: n.quota.Settled(),
-		Loads:   n.balancer.Centre(),
-		Uses:    n.quota.Centre(),
+		WindowObserved: n.quota.WindowObserved(),
+		Loads:   n.balancer.DataCentreLoads(),
+		Usage:    n.quota.DataCentreUsage(),
 		Speeds:  n.balancer.Speeds(),
 	}
 }
 
-// Heard takes what another instance tells. Only those of the same data centre tell
+// HandleStatus takes what another instance tells. Only those of the same data centre tell
 // of their own load; the others' come in digests.
-func (n *Node) Heard(status shelfshelf.Status, at time.Time) {
+func (n *Node) HandleStatus(status shelfshelf.Status, at time.Time) {
 	if status.From.DataCentre == n.Settings.DataCentre {
-		n.balancer.Heard(status.From.ID, status.Loads)
-		n.balancer.HeardSpeeds(status.Speeds)
-		n.quota.Heard(status)
+		n.balancer.SetPeerLoads(status.From.ID, status.Loads)
+		n.balancer.ApplySpeeds(status.Speeds)
+		n.quota.ApplyStatus(status)
 	}
-	n.words.Heard(status.Words)
-	n.rollouts.Heard(status.Rollouts, status.OrdersAsOf, string(status.From.ID))
-	n.evacuations.Heard(status.Evacuated, string(status.From.ID))
-	n.crashes.Heard(status.Crashes, status.From.DataCentre != n.Settings.DataCentre)
-	n.crashKeeper.Heard(status.From, status.CrashesHash)
-	n.relay.Heard(status, at)
+	n.words.Merge(status.Announcements)
+	n.rollouts.Merge(status.Rollouts, status.RolloutsAsOf, string(status.From.ID))
+	n.evacuations.Merge(status.Evacuation, string(status.From.ID))
+	n.crashes.Merge(status.Crashes, status.From.DataCentre != n.Settings.DataCentre)
+	n.crashKeeper.CompareHash(status.From, status.CrashesHash)
+	n.relay.HandleStatus(status, at)
 }
 
-// HeardDigest takes what another data centre tells.
-func (n *Node) HeardDigest(digest shelfshelf.Digest) {
-	n.balancer.HeardCentre(digest)
-	n.quota.HeardCentre(digest)
+// HandleDigest takes what another data centre tells.
+func (n *Node) HandleDigest(digest shelfshelf.Digest) {
+	n.balancer.ApplyDigest(digest)
+	n.quota.ApplyDigest(digest)
 }
 
 // census returns how many instances there are and how many of them are heard.
 func (n *Node) census() (known, heard int) {
 	census := n.gossip.Census()
-	return census.Known, census.Heard
+	return census.Known, census.Live
 }
 
 // instances returns how many instances there are, this one included.
@@ -111,8 +111,8 @@
 	return n.gossip.Census().Known
 }
 
-// SpreadTime is how long it takes until every other instance knows what happened
+// PropagationDelay is how long it takes until every other instance knows what happened
 // here.
-func (n *Node) SpreadTime() time.Duration {
+func (n *Node) PropagationDelay() time.Duration {
 	return n.gossip.SpreadTime()
 }
--- a/node/node.go
+++ b/node/node.go
@@ -74,7 +74,7 @@
 	Catalog   shelfshelf.CatalogSource
 	Directory shelfshelf.InstanceDirectory
 	Codec     shelfshelf.CallCodec
-	Uses      shelfshelf.UseStore
+	Uses      shelfshelf.UsageStore
 	Crashes   shelfshelf.CrashStore
 	Rollouts  shelfshelf.RolloutStore
 	// ReadyPath is where the balancer asks whether the instance takes connections.
@@ -94,19 +94,19 @@
 	balancer *balance.Balancer
 	places   *places.Client
 	// words is what targets have said of themselves.
-	words *announced.Record
+	words *announced.Tracker
 	// evacuations are the data centres whose targets are to get nothing new.
-	evacuations *evacuation.Record
+	evacuations *evacuation.Tracker
 	gossip      *gossip.Node
 	relay       *relay.Relay
 	quota       *quota.Ledger
-	keeper      *quota.Keeper
-	crashes     *crashes.Record
-	witness     *crashes.Witness
-	crashKeeper *crashes.Keeper
-	rollouts    *rollout.Record
+	keeper      *quota.UsageSaver
+	crashes     *crashes.Tracker
+	witness     *crashes.Detector
+	crashKeeper *crashes.Saver
+	rollouts    *rollout.Tracker
 	// rolloutKeeper judges new versions, and writes down how far orders have come.
-	rolloutKeeper *rollout.Keeper
+	rolloutKeeper *rollout.Controller
 	upstream      *upstream.Client
 	gateway       *gateway.Server
 	metrics       *gateway.Metrics
@@ -202,19 +202,19 @@
 	if index == nil {
 		return
 	}
-	targets := n.catalog.Usable()
-	n.rollouts.Targets(targets.Targets, targets.Version)
-	n.words.Targets(targets.Targets)
+	targets := n.catalog.UsableTargets()
+	n.rollouts.SetTargets(targets.Targets, targets.Version)
+	n.words.SetTargets(targets.Targets)
 	n.balancer.SetTargets(index.Bundle.Pools, targets.Targets)
-	if !n.gossip.Local(from) {
-		n.gossip.Kick()
+	if !n.gossip.IsLocalAddress(from) {
+		n.gossip.SendNow()
 	}
 }
 
 // fit reports that the instance may take connections.
 func (n *Node) fit() bool {
 	index, at := n.catalog.Index()
-	_, targetsAt := n.catalog.TargetsKnown()
+	_, targetsAt := n.catalog.TargetsVersion()
 	known := index != nil && n.evacuations.Known() && n.Clock.Now().Sub(at) < n.leaseShare(readyShare) && !targetsAt.IsZero()
 	return known && !n.stopping.Load() && !n.crowd.Full()
 }
--- a/node/places.go
+++ b/node/places.go
@@ -23,21 +23,21 @@
 		Clock:      n.Clock,
 		Log:        n.Log.WithPrefix("places"),
 		Self:       places.Holder{Address: address, Incarnation: n.gossip.Incarnation},
-		Candidates: n.gossip.Members, Substitutes: n.gossip.Substitutes,
-		Send: n.gossip.SendOther,
+		Candidates: n.gossip.Members, FallbackCandidates: n.gossip.SubstituteMembers,
+		Send: n.gossip.SendDatagram,
 	}
-	n.places.Heard = func(told shelfshelf.TargetWord) { n.words.Heard([]shelfshelf.TargetWord{told}) }
-	n.places.Book = &places.Book{Clock: n.Clock, Capacity: n.capacity, Pace: n.pacing, Grant: n.places.Grant}
-	n.gossip.Other = n.places.Receive
-	n.gossip.OtherMarker = places.Marker
-	n.balancer.Places = n.places
+	n.places.OnAnnouncement = func(told shelfshelf.TargetAnnouncement) { n.words.Merge([]shelfshelf.TargetAnnouncement{told}) }
+	n.places.Table = &places.SlotTable{Clock: n.Clock, Capacity: n.capacity, RateLimit: n.pacing, SendGrant: n.places.SendGrant}
+	n.gossip.HandleDatagram = n.places.Receive
+	n.gossip.DatagramMarker = places.Marker
+	n.balancer.SlotOwners = n.places
 	return nil
 }
 
 // capacity returns what is known here of an engine.
 func (n *Node) capacity(key shelfshelf.TargetKey) (places.Capacity, bool) {
 	slots, told, known := n.balancer.Capacity(key)
-	return places.Capacity{Slots: slots, Told: told}, known
+	return places.Capacity{Slots: slots, Reported: told}, known
 }
 
 // leastPace is how many requests a second a target with a limit gets at least, also where it
@@ -54,9 +54,9 @@
 // coldPace returns how many requests a second the owner of a target may give that may turn cold.
 func (n *Node) coldPace(cold balance.ColdState) float64 {
 	bounds := n.Settings.Cold
-	pace := announced.RateWithin(cold.Bears*bounds.Excess + (1-coldReserve)*bounds.Slack)
-	if cold.Suspected {
-		return min(cold.Bears, pace)
+	pace := announced.RateForWindow(cold.RequestRate*bounds.Excess + (1-coldReserve)*bounds.Slack)
+	if cold.MaybeCold {
+		return min(cold.RequestRate, pace)
 	}
 	return pace
 }
@@ -65,43 +65,43 @@
 // or may be cold. Only its owner gives any, unless the target is thought to be warm; and as much of
 // the whole as it hears of its data centre, so that the parts of one that is cut, each with an
 // owner, don't give more together.
-func (n *Node) pacing(key shelfshelf.TargetKey) places.Pace {
-	limit := n.words.Said(key).Limit
-	cold := n.balancer.Cold(key)
-	pace := places.Pace{Paced: limit.Named || cold.Bears > 0}
-	if !pace.Paced {
+func (n *Node) pacing(key shelfshelf.TargetKey) places.RateLimit {
+	limit := n.words.Latest(key).Limit
+	cold := n.balancer.ColdState(key)
+	pace := places.RateLimit{Limited: limit.Set || cold.RequestRate > 0}
+	if !pace.Limited {
 		return pace
 	}
-	centre, known := n.balancer.Where(key)
-	strict := limit.Named || cold.Suspected
+	centre, known := n.balancer.DataCentreOf(key)
+	strict := limit.Set || cold.MaybeCold
 	if !known || strict && !n.places.Owns(key, centre) {
 		return pace
 	}
 	perSecond := math.Inf(1)
-	if cold.Bears > 0 {
+	if cold.RequestRate > 0 {
 		perSecond = n.coldPace(cold)
 	}
-	if limit.Named {
+	if limit.Set {
 		perSecond = min(perSecond, limit.PerSecond)
 	} else {
-		pace.First = coldFirst
+		pace.InitialBurst = coldFirst
 	}
-	pace.PerSecond = max(perSecond*n.gossip.HeardShare(), leastPace)
+	pace.PerSecond = max(perSecond*n.gossip.LiveShare(), leastPace)
 	return pace
 }
 
 // target returns a listed target as it stands, by its entry and by what it has said itself.
 func (n *Node) target(name shelfshelf.TargetName) (shelfshelf.Target, bool) {
 	target, listed := n.catalog.Target(name)
-	target.Leaving = target.Leaving || n.words.Said(shelfshelf.KeyOfTarget(name)).Leaving
+	target.Leaving = target.Leaving || n.words.Latest(shelfshelf.KeyOfTarget(name)).Leaving
 	return target, listed
 }
 
 // wordChanged hands what a target has newly said to the balancer, and tells the others at once
 // of what was read here.
 func (n *Node) wordChanged(target shelfshelf.TargetKey, tell bool) {
-	n.balancer.WordChanged(target)
+	n.balancer.AnnouncementChanged(target)
 	if tell {
-		n.gossip.Kick()
+		n.gossip.SendNow()
 	}
 }
--- a/node/start.go
+++ b/node/start.go
@@ -39,7 +39,7 @@
 
 // starting is what decides whether an instance that knows nothing reads the store.
 type starting struct {
-	gossip.Started
+	gossip.StartupState
 	// Told is how long another instance has been known to have what is missing; negative
 	// if none is.
 	Told time.Duration
@@ -49,7 +49,7 @@
 
 // reads reports that the instance is to read the store itself.
 func (s starting) reads() bool {
-	patience, listed := listPatience, s.Listed
+	patience, listed := listPatience, s.SinceDirectoryRead
 	if s.First {
 		// Until then it isn't known who goes before this one.
 		patience = firstListPatience
@@ -58,23 +58,23 @@
 	switch {
 	case s.Told >= 0:
 		return s.Told >= tellPatience
-	case s.Listed < 0:
+	case s.SinceDirectoryRead < 0:
 		return s.Running >= patience
 	}
-	return listed >= startDelay(s.Before)
+	return listed >= startDelay(s.Preceding)
 }
 
 // readsAtStart reports that this instance, while it knows no configuration or no targets,
 // reads the store for them.
 func (n *Node) readsAtStart() bool {
-	return n.readsStore(&n.toldCatalogAt, func(told gossip.Told) bool { return told.Revision > 0 })
+	return n.readsStore(&n.toldCatalogAt, func(told gossip.PeerKnowledge) bool { return told.Revision > 0 })
 }
 
 // readsStore decides whether what is missing is read from the store; since is when another
 // instance was first known to have it.
-func (n *Node) readsStore(since *toldAt, has func(gossip.Told) bool) bool {
-	s := starting{Started: n.gossip.Started(), Told: -1, First: n.Settings.FirstStart}
-	if at := since.note(len(n.gossip.Knowing(has)) > 0, n.Clock.Now()); !at.IsZero() {
+func (n *Node) readsStore(since *toldAt, has func(gossip.PeerKnowledge) bool) bool {
+	s := starting{StartupState: n.gossip.Started(), Told: -1, First: n.Settings.FirstStart}
+	if at := since.note(len(n.gossip.AddressesWhere(has)) > 0, n.Clock.Now()); !at.IsZero() {
 		s.Told = n.Clock.Now().Sub(at)
 	}
 	return s.reads()
@@ -87,14 +87,14 @@
 	told toldAt
 }
 
-// SaveUses saves to the store.
-func (u *startUses) SaveUses(ctx context.Context, uses []shelfshelf.SavedUse) error {
-	return u.node.Platform.Uses.SaveUses(ctx, uses)
+// SaveUsage saves to the store.
+func (u *startUses) SaveUsage(ctx context.Context, uses []shelfshelf.SavedUsage) error {
+	return u.node.Platform.Uses.SaveUsage(ctx, uses)
 }
 
-// LoadUses asks an instance that knows, and the store where this one is to read it.
-func (u *startUses) LoadUses(ctx context.Context) (shelfshelf.SavedUses, error) {
-	return recall(ctx, u.node, &u.told, u.node.relay.FetchUses, u.node.Platform.Uses.LoadUses)
+// LoadUsage asks an instance that knows, and the store where this one is to read it.
+func (u *startUses) LoadUsage(ctx context.Context) (shelfshelf.SavedUsages, error) {
+	return recall(ctx, u.node, &u.told, u.node.relay.FetchUsage, u.node.Platform.Uses.LoadUsage)
 }
 
 // startCrashes is where a starting instance learns under which requests targets have ended.
@@ -122,9 +122,9 @@
 func recall[T any](
 	ctx context.Context, n *Node, told *toldAt, fetch func(context.Context, string) (T, error), load func(context.Context) (T, error),
 ) (T, error) {
-	has := func(told gossip.Told) bool { return told.Recalled }
+	has := func(told gossip.PeerKnowledge) bool { return told.Recalled }
 	for {
-		if addresses := n.gossip.Knowing(has); len(addresses) > 0 {
+		if addresses := n.gossip.AddressesWhere(has); len(addresses) > 0 {
 			known, err := fetch(ctx, addresses[rand.IntN(len(addresses))])
 			if err == nil || errors.Is(err, shelfshelf.ErrNotFound) {
 				return known, err
@@ -145,6 +145,6 @@
 // storeReturned has what this instance wrote lately looked at again: the store has come back from
 // an older copy, and nobody else writes it.
 func (n *Node) storeReturned() {
-	n.gossip.Lost()
-	n.crashKeeper.Lost()
+	n.gossip.CheckAnnouncement()
+	n.crashKeeper.StoreReset()
 }
--- a/node/start_test.go
+++ b/node/start_test.go
@@ -35,7 +35,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := starting{
-				Started: gossip.Started{Running: c.running, Listed: c.listed, Before: c.before}, Told: c.told, First: c.first,
+				StartupState: gossip.StartupState{Running: c.running, SinceDirectoryRead: c.listed, Preceding: c.before}, Told: c.told, First: c.first,
 			}
 			if got := s.reads(); got != c.want {
 				t.Errorf("%+v reads: %v", s, got)
--- a/peer/wire.go
+++ b/peer/wire.go
@@ -205,7 +205,7 @@
 		ask.FirstTokenBy = now.Add(micros(w.FirstTokenMicros))
 	}
 	for _, mark := range w.Prefix {
-		ask.Prefix = append(ask.Prefix, shelfshelf.PrefixMark{Tokens: mark.Tokens, Hash: shelfshelf.BlockHash(mark.Hash)})
+		ask.Prefix = append(ask.Prefix, shelfshelf.PromptPrefix{Tokens: mark.Tokens, Hash: shelfshelf.BlockHash(mark.Hash)})
 	}
 	for _, target := range w.Avoid {
 		ask.Avoid = append(ask.Avoid, shelfshelf.TargetName(target))
@@ -288,8 +288,8 @@
 
 func crashToWire(crash shelfshelf.Crash) wireCrash {
 	wire := wireCrash{ID: uint64(crash.ID), AgeMicros: crash.Age.Microseconds()}
-	for _, run := range crash.Runs {
-		wire.Runs = append(wire.Runs, wireCrashed{Request: uint64(run.Request), Outlived: run.Outlived})
+	for _, run := range crash.Requests {
+		wire.Runs = append(wire.Runs, wireCrashed{Request: uint64(run.Request), Outlived: run.Cleared})
 	}
 	return wire
 }
@@ -297,7 +297,7 @@
 func (w *wireCrash) domain() shelfshelf.Crash {
 	crash := shelfshelf.Crash{ID: shelfshelf.CrashID(w.ID), Age: micros(w.AgeMicros)}
 	for _, run := range w.Runs {
-		crash.Runs = append(crash.Runs, shelfshelf.CrashedRun{Request: shelfshelf.Fingerprint(run.Request), Outlived: run.Outlived})
+		crash.Requests = append(crash.Requests, shelfshelf.InFlightRequest{Request: shelfshelf.Fingerprint(run.Request), Cleared: run.Outlived})
 	}
 	return crash
 }
--- a/peer/wire_test.go
+++ b/peer/wire_test.go
@@ -22,7 +22,7 @@
 		Weight:       1.5,
 		PromptTokens: 1000,
 		OutputTokens: 20,
-		Prefix:       []shelfshelf.PrefixMark{{Tokens: 64, Hash: 1 << 63}},
+		Prefix:       []shelfshelf.PromptPrefix{{Tokens: 64, Hash: 1 << 63}},
 		Arrived:      now.Add(-time.Second),
 		Deadline:     now.Add(time.Minute),
 		Avoid:        []shelfshelf.TargetName{"t"},
@@ -61,7 +61,7 @@
 		Leaving:     []shelfshelf.TargetName{"t"},
 		Crashes: []shelfshelf.Crash{{
 			ID: 1<<64 - 1, Age: time.Minute,
-			Runs: []shelfshelf.CrashedRun{{Request: 1<<64 - 1}, {Request: 7, Outlived: true}},
+			Requests: []shelfshelf.InFlightRequest{{Request: 1<<64 - 1}, {Request: 7, Cleared: true}},
 		}},
 	}
 	var frame bytes.Buffer
--- a/places/backoff_test.go
+++ b/places/backoff_test.go
@@ -13,39 +13,39 @@
 // others the attempt, and a single request must find out when the target is back.
 func TestUnreachableTargetsBackOffForAllInstances(t *testing.T) {
 	inNetwork(t, 5, func(ctx context.Context, net *network) {
-		granted := make(chan shelfshelf.PlaceID, 99)
-		requestFrom := func(n int) shelfshelf.PlaceAnswer {
-			return net.clients[addressOf(n)].Ask(ctx, requestFor(7, 0), granted)
+		granted := make(chan shelfshelf.SlotID, 99)
+		requestFrom := func(n int) shelfshelf.SlotResponse {
+			return net.clients[addressOf(n)].Request(ctx, requestFor(7, 0), granted)
 		}
 		first := requestFrom(1)
-		if first.Outcome != shelfshelf.PlaceGranted {
+		if first.Outcome != shelfshelf.SlotGranted {
 			t.Fatalf("%+v", first)
 		}
-		net.clients[addressOf(1)].Give(first.ID, true)
+		net.clients[addressOf(1)].Release(first.ID, true)
 		time.Sleep(5 * time.Millisecond)
 		for n := 2; n <= 5; n++ {
-			if got := requestFrom(n); got.Outcome != shelfshelf.PlaceRests || got.Rest <= 0 || got.Rest > minBackoff {
+			if got := requestFrom(n); got.Outcome != shelfshelf.SlotUnavailable || got.RetryAfter <= 0 || got.RetryAfter > minBackoff {
 				t.Errorf("after a failure: %+v", got)
 			}
 		}
 		time.Sleep(minBackoff)
 		probe := requestFrom(2)
-		if probe.Outcome != shelfshelf.PlaceGranted {
+		if probe.Outcome != shelfshelf.SlotGranted {
 			t.Fatalf("the probe after the backoff: %+v", probe)
 		}
-		if got := requestFrom(3); got.Outcome != shelfshelf.PlaceRests {
+		if got := requestFrom(3); got.Outcome != shelfshelf.SlotUnavailable {
 			t.Errorf("beside the probe: %+v", got)
 		}
-		net.clients[addressOf(2)].Give(probe.ID, true)
+		net.clients[addressOf(2)].Release(probe.ID, true)
 		time.Sleep(minBackoff + probeTimeout)
-		if got := requestFrom(3); got.Outcome != shelfshelf.PlaceRests {
+		if got := requestFrom(3); got.Outcome != shelfshelf.SlotUnavailable {
 			t.Errorf("the second backoff is not longer: %+v", got)
 		}
 		time.Sleep(minBackoff)
 		probe = requestFrom(3)
-		net.clients[addressOf(3)].Give(probe.ID, false)
+		net.clients[addressOf(3)].Release(probe.ID, false)
 		time.Sleep(5 * time.Millisecond)
-		if got := requestFrom(4); got.Outcome != shelfshelf.PlaceGranted {
+		if got := requestFrom(4); got.Outcome != shelfshelf.SlotGranted {
 			t.Errorf("after an answer: %+v", got)
 		}
 	})
@@ -54,14 +54,14 @@
 // The probe may stream for long: the backoff ends if the probe has not failed within probeTimeout.
 func TestRunningProbesEndTheBackoff(t *testing.T) {
 	inNetwork(t, 3, func(ctx context.Context, net *network) {
-		granted := make(chan shelfshelf.PlaceID, 99)
-		net.clients[addressOf(1)].Give(net.clients[addressOf(1)].Ask(ctx, requestFor(7, 0), granted).ID, true)
+		granted := make(chan shelfshelf.SlotID, 99)
+		net.clients[addressOf(1)].Release(net.clients[addressOf(1)].Request(ctx, requestFor(7, 0), granted).ID, true)
 		time.Sleep(minBackoff + 5*time.Millisecond)
-		if got := net.clients[addressOf(2)].Ask(ctx, requestFor(7, 0), granted); got.Outcome != shelfshelf.PlaceGranted {
+		if got := net.clients[addressOf(2)].Request(ctx, requestFor(7, 0), granted); got.Outcome != shelfshelf.SlotGranted {
 			t.Fatalf("%+v", got)
 		}
 		time.Sleep(probeTimeout)
-		if got := net.clients[addressOf(3)].Ask(ctx, requestFor(7, 0), granted); got.Outcome != shelfshelf.PlaceGranted {
+		if got := net.clients[addressOf(3)].Request(ctx, requestFor(7, 0), granted); got.Outcome != shelfshelf.SlotGranted {
 			t.Errorf("%+v", got)
 		}
 	})
@@ -71,20 +71,20 @@
 // then ignored for a while.
 func TestIsolatedHoldersBlockTargetsOnce(t *testing.T) {
 	inNetwork(t, 3, func(ctx context.Context, net *network) {
-		granted := make(chan shelfshelf.PlaceID, 99)
+		granted := make(chan shelfshelf.SlotID, 99)
 		isolated, other := net.clients[addressOf(1)], net.clients[addressOf(2)]
 		blocked := 0
 		for range 20 {
-			if got := isolated.Ask(ctx, requestFor(7, 0), granted); got.Outcome == shelfshelf.PlaceGranted {
-				isolated.Give(got.ID, true)
+			if got := isolated.Request(ctx, requestFor(7, 0), granted); got.Outcome == shelfshelf.SlotGranted {
+				isolated.Release(got.ID, true)
 			}
 			time.Sleep(100 * time.Millisecond)
-			got := other.Ask(ctx, requestFor(7, 0), granted)
-			if got.Outcome == shelfshelf.PlaceRests {
+			got := other.Request(ctx, requestFor(7, 0), granted)
+			if got.Outcome == shelfshelf.SlotUnavailable {
 				blocked++
 				continue
 			}
-			other.Give(got.ID, false)
+			other.Release(got.ID, false)
 			time.Sleep(5 * time.Millisecond)
 		}
 		if blocked > 4 {
--- a/places/book.go
+++ b/places/book.go
@@ -33,33 +33,33 @@
 type Capacity struct {
 	// Slots is how many requests the target runs at once.
 	Slots int
-	// Told is how many requests the target runs according to the loads that instances report to
+	// Reported is how many requests the target runs according to the loads that instances report to
 	// each other, which lag a little.
-	Told int
+	Reported int
 }
 
-// Pace limits the rate at which an owner may send requests to a target.
-type Pace struct {
-	// Paced says that there is a limit.
-	Paced bool
+// RateLimit limits the rate at which an owner may send requests to a target.
+type RateLimit struct {
+	// Limited says that there is a limit.
+	Limited bool
 	// PerSecond is the limit; it is 0 if another instance owns the target.
 	PerSecond float64
-	// First is the initial burst of a new owner. The previous owner may have sent as many just
+	// InitialBurst is the initial burst of a new owner. The previous owner may have sent as many just
 	// before.
-	First float64
+	InitialBurst float64
 }
 
-// Book allocates the slots of the targets that this instance owns. Its fields are set before use.
+// SlotTable allocates the slots of the targets that this instance owns. Its fields are set before use.
 // It is safe for concurrent use.
-type Book struct {
+type SlotTable struct {
 	Clock shelfshelf.Clock
 	// Capacity returns what is known about a target, or false if the target is unknown here.
 	Capacity func(shelfshelf.TargetKey) (Capacity, bool)
-	// Pace returns the rate limit of this instance for a target; a nil function means that no target
+	// RateLimit returns the rate limit of this instance for a target; a nil function means that no target
 	// is limited.
-	Pace func(shelfshelf.TargetKey) Pace
-	// Grant tells a holder that its queued request was granted. It is called without b.mu held.
-	Grant func(holder Holder, id shelfshelf.PlaceID, requests int)
+	RateLimit func(shelfshelf.TargetKey) RateLimit
+	// SendGrant tells a holder that its queued request was granted. It is called without b.mu held.
+	SendGrant func(holder Holder, id shelfshelf.SlotID, requests int)
 
 	mu        sync.Mutex
 	targets   map[shelfshelf.TargetKey]*targetState
@@ -82,18 +82,18 @@
 	backoff  backoff
 	// gate limits the rate of requests to the target: it is open while another one may be sent. It
 	// is nil if the rate is not limited.
-	gate *announced.Gate
+	gate *announced.TokenBucket
 }
 
 type slotKey struct {
 	holder Holder
-	id     shelfshelf.PlaceID
+	id     shelfshelf.SlotID
 }
 
 // queuedRequest is a slot request waiting in the queue.
 type queuedRequest struct {
 	key      slotKey
-	request  shelfshelf.PlaceAsk
+	request  shelfshelf.SlotRequest
 	deadline time.Time
 }
 
@@ -103,14 +103,14 @@
 	requests int
 }
 
-// Ask grants a slot or queues the request. A duplicate of a request takes no second slot; its
+// Request grants a slot or queues the request. A duplicate of a request takes no second slot; its
 // answer says whether the request is granted or queued.
-func (b *Book) Ask(holder Holder, id shelfshelf.PlaceID, req shelfshelf.PlaceAsk) shelfshelf.PlaceAnswer {
+func (b *SlotTable) Request(holder Holder, id shelfshelf.SlotID, req shelfshelf.SlotRequest) shelfshelf.SlotResponse {
 	b.mu.Lock()
 	now := b.Clock.Now()
 	if _, known := b.Capacity(req.Target); !known {
 		b.mu.Unlock()
-		return shelfshelf.PlaceAnswer{ID: id}
+		return shelfshelf.SlotResponse{ID: id}
 	}
 	s := b.stateOf(req.Target, now)
 	b.recordContact(holder, now)
@@ -120,25 +120,25 @@
 	if left := s.blockedFor(now); left > 0 && !duplicate {
 		requests := len(s.held)
 		b.mu.Unlock()
-		return shelfshelf.PlaceAnswer{ID: id, Outcome: shelfshelf.PlaceRests, Requests: requests, Rest: left}
+		return shelfshelf.SlotResponse{ID: id, Outcome: shelfshelf.SlotUnavailable, InUse: requests, RetryAfter: left}
 	}
 	if !duplicate {
 		b.targetBySlot[key] = req.Target
-		s.enqueue(queuedRequest{key: key, request: req, deadline: now.Add(req.Wait)})
+		s.enqueue(queuedRequest{key: key, request: req, deadline: now.Add(req.MaxWait)})
 	}
 	grants := b.grantQueued(req.Target, s, now)
-	answer := shelfshelf.PlaceAnswer{ID: id, Outcome: shelfshelf.PlaceWaits, Requests: len(s.held)}
+	answer := shelfshelf.SlotResponse{ID: id, Outcome: shelfshelf.SlotQueued, InUse: len(s.held)}
 	if _, held := s.held[key]; held {
-		answer.Outcome = shelfshelf.PlaceGranted
+		answer.Outcome = shelfshelf.SlotGranted
 	}
 	b.mu.Unlock()
 	b.sendGrants(slices.DeleteFunc(grants, func(g grant) bool { return g.key == key }))
 	return answer
 }
 
-// Leave withdraws a queued request; served says whether it got a slot at another target. If it has
+// Withdraw withdraws a queued request; served says whether it got a slot at another target. If it has
 // been granted in the meantime, its slot is freed.
-func (b *Book) Leave(holder Holder, id shelfshelf.PlaceID, served bool) {
+func (b *SlotTable) Withdraw(holder Holder, id shelfshelf.SlotID, served bool) {
 	b.mu.Lock()
 	key := slotKey{holder: holder, id: id}
 	if target, known := b.targetBySlot[key]; known {
@@ -152,19 +152,19 @@
 }
 
 // Release frees a slot or withdraws a queued request.
-func (b *Book) Release(holder Holder, id shelfshelf.PlaceID) {
+func (b *SlotTable) Release(holder Holder, id shelfshelf.SlotID) {
 	b.releaseAndRecord(holder, id, (*backoff).recordAnswer)
 }
 
-// Unreachable frees a slot whose holder could not reach the target, and starts a backoff for the
+// ReleaseUnreachable frees a slot whose holder could not reach the target, and starts a backoff for the
 // target.
-func (b *Book) Unreachable(holder Holder, id shelfshelf.PlaceID) {
+func (b *SlotTable) ReleaseUnreachable(holder Holder, id shelfshelf.SlotID) {
 	b.releaseAndRecord(holder, id, (*backoff).recordUnreachable)
 }
 
 // releaseAndRecord frees a held slot, or withdraws a queued request. For a held slot it calls
 // record with the backoff state of the target.
-func (b *Book) releaseAndRecord(holder Holder, id shelfshelf.PlaceID, record func(*backoff, slotKey, time.Time)) {
+func (b *SlotTable) releaseAndRecord(holder Holder, id shelfshelf.SlotID, record func(*backoff, slotKey, time.Time)) {
 	b.mu.Lock()
 	now := b.Clock.Now()
 	b.recordContact(holder, now)
@@ -186,7 +186,7 @@
 }
 
 // removeSlot deletes a held slot. The caller must hold b.mu.
-func (b *Book) removeSlot(s *targetState, key slotKey) {
+func (b *SlotTable) removeSlot(s *targetState, key slotKey) {
 	delete(s.held, key)
 	delete(b.targetBySlot, key)
 }
@@ -194,7 +194,7 @@
 // Sync reconciles the slot table with a holder's full list of the slots that it holds at targets
 // which it believes this instance owns. Slots missing in the list are freed, and slots missing in
 // the table are added.
-func (b *Book) Sync(holder Holder, held map[shelfshelf.PlaceID]shelfshelf.TargetKey) {
+func (b *SlotTable) Sync(holder Holder, held map[shelfshelf.SlotID]shelfshelf.TargetKey) {
 	b.mu.Lock()
 	now := b.Clock.Now()
 	b.recordContact(holder, now)
@@ -223,7 +223,7 @@
 
 // Sweep frees the slots of holders that have been silent for longer than holderTimeout, and removes
 // idle targets.
-func (b *Book) Sweep(self Holder) {
+func (b *SlotTable) Sweep(self Holder) {
 	b.mu.Lock()
 	now := b.Clock.Now()
 	b.recordContact(self, now)
@@ -250,7 +250,7 @@
 }
 
 // Held returns how many slots of a target are taken.
-func (b *Book) Held(target shelfshelf.TargetKey) int {
+func (b *SlotTable) Held(target shelfshelf.TargetKey) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if s := b.targets[target]; s != nil {
@@ -259,14 +259,14 @@
 	return 0
 }
 
-func (b *Book) sendGrants(grants []grant) {
+func (b *SlotTable) sendGrants(grants []grant) {
 	for _, g := range grants {
-		b.Grant(g.key.holder, g.key.id, g.requests)
+		b.SendGrant(g.key.holder, g.key.id, g.requests)
 	}
 }
 
 // recordContact stores when a holder was last heard from. The caller must hold b.mu.
-func (b *Book) recordContact(holder Holder, now time.Time) {
+func (b *SlotTable) recordContact(holder Holder, now time.Time) {
 	if b.lastHeard == nil {
 		b.lastHeard = make(map[Holder]time.Time)
 	}
@@ -274,7 +274,7 @@
 }
 
 // stateOf returns the state of a target and creates it if necessary. The caller must hold b.mu.
-func (b *Book) stateOf(target shelfshelf.TargetKey, now time.Time) *targetState {
+func (b *SlotTable) stateOf(target shelfshelf.TargetKey, now time.Time) *targetState {
 	if b.targets == nil {
 		b.targets = make(map[shelfshelf.TargetKey]*targetState)
 		b.targetBySlot = make(map[slotKey]shelfshelf.TargetKey)
@@ -289,7 +289,7 @@
 
 // grantQueued grants free slots to queued requests and returns the grants, which the caller sends
 // after it has released b.mu. The caller must hold b.mu.
-func (b *Book) grantQueued(target shelfshelf.TargetKey, s *targetState, now time.Time) []grant {
+func (b *SlotTable) grantQueued(target shelfshelf.TargetKey, s *targetState, now time.Time) []grant {
 	b.dropExpired(s, now)
 	if len(s.queue) == 0 {
 		return nil
@@ -318,11 +318,11 @@
 
 // scheduleOpening sets nextOpening to the time at which the gate of a target with queued requests
 // opens, if that is earlier. The caller must hold b.mu.
-func (b *Book) scheduleOpening(s *targetState, now time.Time) {
+func (b *SlotTable) scheduleOpening(s *targetState, now time.Time) {
 	if s.gate == nil {
 		return
 	}
-	left := s.gate.Left(now)
+	left := s.gate.Wait(now)
 	at := now.Add(left)
 	if left <= 0 || !b.nextOpening.IsZero() && !at.Before(b.nextOpening) {
 		return
@@ -336,23 +336,23 @@
 
 // openingChannel returns the channel that signals an earlier nextOpening. The caller must hold
 // b.mu.
-func (b *Book) openingChannel() chan struct{} {
+func (b *SlotTable) openingChannel() chan struct{} {
 	if b.openingChanged == nil {
 		b.openingChanged = make(chan struct{}, 1)
 	}
 	return b.openingChanged
 }
 
-// Opening returns the earliest time at which the gate of a target with queued requests opens, or
+// NextGateOpening returns the earliest time at which the gate of a target with queued requests opens, or
 // zero if there is none, and a channel that signals an earlier one.
-func (b *Book) Opening() (time.Time, <-chan struct{}) {
+func (b *SlotTable) NextGateOpening() (time.Time, <-chan struct{}) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.nextOpening, b.openingChannel()
 }
 
-// Open grants slots to the queued requests of targets whose gates have opened.
-func (b *Book) Open() {
+// GrantOpened grants slots to the queued requests of targets whose gates have opened.
+func (b *SlotTable) GrantOpened() {
 	b.mu.Lock()
 	now := b.Clock.Now()
 	b.nextOpening = time.Time{}
@@ -368,17 +368,17 @@
 
 // updateGate creates, updates or removes the gate of a target according to its rate limit. The
 // caller must hold b.mu.
-func (b *Book) updateGate(target shelfshelf.TargetKey, s *targetState, now time.Time) {
-	if b.Pace == nil {
+func (b *SlotTable) updateGate(target shelfshelf.TargetKey, s *targetState, now time.Time) {
+	if b.RateLimit == nil {
 		return
 	}
-	pace := b.Pace(target)
-	if !pace.Paced {
+	pace := b.RateLimit(target)
+	if !pace.Limited {
 		s.gate = nil
 		return
 	}
 	if s.gate == nil {
-		s.gate = announced.NewGate(pace.PerSecond, pace.First, now)
+		s.gate = announced.NewTokenBucket(pace.PerSecond, pace.InitialBurst, now)
 	}
 	s.gate.SetRate(pace.PerSecond, now)
 }
@@ -388,14 +388,14 @@
 func (s *targetState) blockedFor(now time.Time) time.Duration {
 	left := s.backoff.remaining(now)
 	if s.gate != nil {
-		left = max(left, s.gate.Left(now))
+		left = max(left, s.gate.Wait(now))
 	}
 	return left
 }
 
 // dropExpired removes requests that have reached their deadline in the queue. The caller must hold
 // b.mu.
-func (b *Book) dropExpired(s *targetState, now time.Time) {
+func (b *SlotTable) dropExpired(s *targetState, now time.Time) {
 	s.queue = slices.DeleteFunc(s.queue, func(q queuedRequest) bool {
 		over := now.After(q.deadline)
 		if over {
@@ -407,10 +407,10 @@
 }
 
 // dequeue removes a request from the queue and reports whether it was queued.
-func (s *targetState) dequeue(key slotKey) (shelfshelf.PlaceAsk, bool) {
+func (s *targetState) dequeue(key slotKey) (shelfshelf.SlotRequest, bool) {
 	at := slices.IndexFunc(s.queue, func(q queuedRequest) bool { return q.key == key })
 	if at < 0 {
-		return shelfshelf.PlaceAsk{}, false
+		return shelfshelf.SlotRequest{}, false
 	}
 	req := s.queue[at].request
 	s.queue = slices.Delete(s.queue, at, at+1)
@@ -419,12 +419,12 @@
 
 // availableSlots returns how many slots are free for a request, without those reserved for higher
 // tiers.
-func (s *targetState) availableSlots(capacity Capacity, req shelfshelf.PlaceAsk, now time.Time) int {
+func (s *targetState) availableSlots(capacity Capacity, req shelfshelf.SlotRequest, now time.Time) int {
 	taken := len(s.held)
 	if now.Sub(s.createdAt) < warmUpPeriod {
-		taken = max(taken, capacity.Told)
+		taken = max(taken, capacity.Reported)
 	}
-	return capacity.Slots - taken - shelfshelf.ReservedPlaces(capacity.Slots, req.Tier, req.Begun)
+	return capacity.Slots - taken - shelfshelf.ReservedSlots(capacity.Slots, req.Tier, req.Started)
 }
 
 // enqueue inserts a request behind those that precede it or are equal to it.
@@ -442,14 +442,14 @@
 // scarce, shortest first serves 8% more requests of the middle tier and 10% more of the lowest tier
 // in time, and as many of the highest (medians of six runs of two high-load days, with and without
 // it on the same seeds).
-func precedes(a, b shelfshelf.PlaceAsk) bool {
+func precedes(a, b shelfshelf.SlotRequest) bool {
 	switch {
-	case a.Begun != b.Begun:
-		return a.Begun
+	case a.Started != b.Started:
+		return a.Started
 	case a.Rank != b.Rank:
 		return a.Rank < b.Rank
 	case a.Tier != b.Tier:
 		return a.Tier < b.Tier
 	}
-	return a.Stay < b.Stay
+	return a.HoldTime < b.HoldTime
 }
--- a/places/book_test.go
+++ b/places/book_test.go
@@ -17,21 +17,21 @@
 
 // bookFixture is a Book that records the grants it sends.
 type bookFixture struct {
-	*places.Book
+	*places.SlotTable
 	clock    *clockwork.FakeClock
 	slots    int
 	reported int
-	granted  []shelfshelf.PlaceID
+	granted  []shelfshelf.SlotID
 }
 
 func newBookFixture(slots int) *bookFixture {
 	f := &bookFixture{clock: clockwork.NewFakeClock(), slots: slots}
-	f.Book = &places.Book{
+	f.SlotTable = &places.SlotTable{
 		Clock: f.clock,
 		Capacity: func(target shelfshelf.TargetKey) (places.Capacity, bool) {
-			return places.Capacity{Slots: f.slots, Told: f.reported}, target == testTarget
+			return places.Capacity{Slots: f.slots, Reported: f.reported}, target == testTarget
 		},
-		Grant: func(_ places.Holder, id shelfshelf.PlaceID, _ int) { f.granted = append(f.granted, id) },
+		SendGrant: func(_ places.Holder, id shelfshelf.SlotID, _ int) { f.granted = append(f.granted, id) },
 	}
 	return f
 }
@@ -40,23 +40,23 @@
 	return places.Holder{Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(n)}), 1), Incarnation: 1}
 }
 
-func requestFor(tier shelfshelf.Tier, wait time.Duration) shelfshelf.PlaceAsk {
-	return shelfshelf.PlaceAsk{Target: testTarget, Tier: tier, Wait: wait}
+func requestFor(tier shelfshelf.Tier, wait time.Duration) shelfshelf.SlotRequest {
+	return shelfshelf.SlotRequest{Target: testTarget, Tier: tier, MaxWait: wait}
 }
 
 func TestSlotsAreGrantedOnce(t *testing.T) {
 	f := newBookFixture(2)
-	for id, want := range map[shelfshelf.PlaceID]shelfshelf.PlaceOutcome{1: shelfshelf.PlaceGranted} {
+	for id, want := range map[shelfshelf.SlotID]shelfshelf.SlotOutcome{1: shelfshelf.SlotGranted} {
 		for range 2 { // a duplicate request takes no second slot
-			if got := f.Ask(holder(1), id, requestFor(0, 0)); got.Outcome != want || got.Requests != 1 {
+			if got := f.Request(holder(1), id, requestFor(0, 0)); got.Outcome != want || got.InUse != 1 {
 				t.Errorf("%d: %+v", id, got)
 			}
 		}
 	}
-	if got := f.Ask(holder(2), 1, requestFor(0, 0)); got.Outcome != shelfshelf.PlaceGranted || got.Requests != 2 {
+	if got := f.Request(holder(2), 1, requestFor(0, 0)); got.Outcome != shelfshelf.SlotGranted || got.InUse != 2 {
 		t.Errorf("%+v", got)
 	}
-	if got := f.Ask(holder(3), 1, requestFor(0, time.Second)); got.Outcome != shelfshelf.PlaceWaits {
+	if got := f.Request(holder(3), 1, requestFor(0, time.Second)); got.Outcome != shelfshelf.SlotQueued {
 		t.Errorf("%+v", got)
 	}
 	f.Release(holder(2), 1)
@@ -64,7 +64,7 @@
 	if len(f.granted) != 1 || f.Held(testTarget) != 2 {
 		t.Errorf("granted %v, held %d", f.granted, f.Held(testTarget))
 	}
-	if got := f.Ask(holder(1), 9, shelfshelf.PlaceAsk{Target: testTarget + 1}); got.Outcome != shelfshelf.PlaceUnknown {
+	if got := f.Request(holder(1), 9, shelfshelf.SlotRequest{Target: testTarget + 1}); got.Outcome != shelfshelf.SlotNoOwner {
 		t.Errorf("unknown target: %+v", got)
 	}
 }
@@ -73,21 +73,21 @@
 // deadline has passed are dropped.
 func TestQueueOrder(t *testing.T) {
 	f := newBookFixture(1)
-	f.Ask(holder(1), 1, requestFor(0, 0))
+	f.Request(holder(1), 1, requestFor(0, 0))
 	begun := requestFor(2, time.Second)
-	begun.Begun = true
+	begun.Started = true
 	late := requestFor(0, 10*time.Millisecond)
 	ranked := requestFor(0, time.Second)
 	ranked.Rank = 1
-	for id, req := range []shelfshelf.PlaceAsk{requestFor(2, time.Second), ranked, requestFor(1, time.Second), late, requestFor(1, time.Second), begun} {
-		f.Ask(holder(2), shelfshelf.PlaceID(10+id), req)
+	for id, req := range []shelfshelf.SlotRequest{requestFor(2, time.Second), ranked, requestFor(1, time.Second), late, requestFor(1, time.Second), begun} {
+		f.Request(holder(2), shelfshelf.SlotID(10+id), req)
 	}
 	f.clock.Advance(20 * time.Millisecond)
 	f.Release(holder(1), 1)
 	for len(f.granted) > 0 && len(f.granted) < 5 {
 		f.Release(holder(2), f.granted[len(f.granted)-1])
 	}
-	want := []shelfshelf.PlaceID{15, 12, 14, 10, 11}
+	want := []shelfshelf.SlotID{15, 12, 14, 10, 11}
 	if len(f.granted) != len(want) {
 		t.Fatalf("%v", f.granted)
 	}
@@ -102,20 +102,20 @@
 // more callers.
 func TestShorterRequestsGoFirst(t *testing.T) {
 	f := newBookFixture(1)
-	f.Ask(holder(1), 1, requestFor(0, 0))
+	f.Request(holder(1), 1, requestFor(0, 0))
 	for id, holdTime := range []time.Duration{3 * time.Second, time.Second, 2 * time.Second, time.Second} {
 		req := requestFor(1, time.Minute)
-		req.Stay = holdTime
-		f.Ask(holder(2), shelfshelf.PlaceID(10+id), req)
+		req.HoldTime = holdTime
+		f.Request(holder(2), shelfshelf.SlotID(10+id), req)
 	}
 	higher := requestFor(0, time.Minute)
-	higher.Stay = time.Minute
-	f.Ask(holder(2), 14, higher)
+	higher.HoldTime = time.Minute
+	f.Request(holder(2), 14, higher)
 	f.Release(holder(1), 1)
 	for range 4 {
 		f.Release(holder(2), f.granted[len(f.granted)-1])
 	}
-	want := []shelfshelf.PlaceID{14, 11, 13, 12, 10}
+	want := []shelfshelf.SlotID{14, 11, 13, 12, 10}
 	if !slices.Equal(f.granted, want) {
 		t.Errorf("%v, not %v", f.granted, want)
 	}
@@ -125,15 +125,15 @@
 // already worked on.
 func TestLastSlotIsReserved(t *testing.T) {
 	f := newBookFixture(4)
-	for id := range shelfshelf.PlaceID(3) {
-		if got := f.Ask(holder(1), id+1, requestFor(1, 0)); got.Outcome != shelfshelf.PlaceGranted {
+	for id := range shelfshelf.SlotID(3) {
+		if got := f.Request(holder(1), id+1, requestFor(1, 0)); got.Outcome != shelfshelf.SlotGranted {
 			t.Fatalf("%d: %+v", id, got)
 		}
 	}
-	if got := f.Ask(holder(1), 4, requestFor(1, 0)); got.Outcome != shelfshelf.PlaceWaits {
+	if got := f.Request(holder(1), 4, requestFor(1, 0)); got.Outcome != shelfshelf.SlotQueued {
 		t.Errorf("%+v", got)
 	}
-	if got := f.Ask(holder(1), 5, requestFor(0, 0)); got.Outcome != shelfshelf.PlaceGranted {
+	if got := f.Request(holder(1), 5, requestFor(0, 0)); got.Outcome != shelfshelf.SlotGranted {
 		t.Errorf("%+v", got)
 	}
 }
@@ -142,11 +142,11 @@
 // that was granted a moment ago may be missing in the list.
 func TestSyncReconcilesTheBook(t *testing.T) {
 	f := newBookFixture(5)
-	f.Ask(holder(1), 1, requestFor(0, 0))
-	f.Ask(holder(1), 2, requestFor(0, 0))
+	f.Request(holder(1), 1, requestFor(0, 0))
+	f.Request(holder(1), 2, requestFor(0, 0))
 	f.clock.Advance(time.Second)
-	f.Ask(holder(1), 3, requestFor(0, 0))
-	f.Sync(holder(1), map[shelfshelf.PlaceID]shelfshelf.TargetKey{2: testTarget, 9: testTarget})
+	f.Request(holder(1), 3, requestFor(0, 0))
+	f.Sync(holder(1), map[shelfshelf.SlotID]shelfshelf.TargetKey{2: testTarget, 9: testTarget})
 	if got := f.Held(testTarget); got != 3 {
 		t.Errorf("%d held, want 2, 3 and 9", got)
 	}
@@ -156,23 +156,23 @@
 func TestNewOwnersCountReportedLoad(t *testing.T) {
 	f := newBookFixture(3)
 	f.reported = 3
-	if got := f.Ask(holder(1), 1, requestFor(0, 0)); got.Outcome != shelfshelf.PlaceWaits {
+	if got := f.Request(holder(1), 1, requestFor(0, 0)); got.Outcome != shelfshelf.SlotQueued {
 		t.Errorf("%+v", got)
 	}
 	f.clock.Advance(2 * time.Second)
-	if got := f.Ask(holder(1), 2, requestFor(0, 0)); got.Outcome != shelfshelf.PlaceGranted {
+	if got := f.Request(holder(1), 2, requestFor(0, 0)); got.Outcome != shelfshelf.SlotGranted {
 		t.Errorf("%+v", got)
 	}
 }
 
 func TestSilentHoldersLoseTheirSlots(t *testing.T) {
 	f := newBookFixture(1)
-	f.Ask(holder(1), 1, requestFor(0, 0))
+	f.Request(holder(1), 1, requestFor(0, 0))
 	for range 4 {
 		f.clock.Advance(time.Second)
 		f.Sweep(holder(9))
 	}
-	if got := f.Ask(holder(2), 1, requestFor(0, 0)); got.Outcome != shelfshelf.PlaceGranted {
+	if got := f.Request(holder(2), 1, requestFor(0, 0)); got.Outcome != shelfshelf.SlotGranted {
 		t.Errorf("%+v", got)
 	}
 }
@@ -182,13 +182,13 @@
 func TestBookNeverOvercommits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newBookFixture(rapid.IntRange(1, 6).Draw(t, "slots"))
-		open := make(map[shelfshelf.PlaceID]int)
-		for id := shelfshelf.PlaceID(1); id < 60; id++ {
+		open := make(map[shelfshelf.SlotID]int)
+		for id := shelfshelf.SlotID(1); id < 60; id++ {
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
 				from := rapid.IntRange(1, 4).Draw(t, "holder")
 				open[id] = from
-				f.Ask(holder(from), id, requestFor(shelfshelf.Tier(rapid.IntRange(0, 2).Draw(t, "tier")), time.Second))
+				f.Request(holder(from), id, requestFor(shelfshelf.Tier(rapid.IntRange(0, 2).Draw(t, "tier")), time.Second))
 			case 2:
 				for other, from := range open {
 					f.Release(holder(from), other)
--- a/places/client.go
+++ b/places/client.go
@@ -32,22 +32,22 @@
 	Log   *log.Logger
 	// Self is this instance as the others see it.
 	Self Holder
-	Book *Book
+	Table *SlotTable
 	// Candidates returns the instances of a data centre that may own its targets, including this
 	// one if it runs there.
 	Candidates func(shelfshelf.DataCentre) []shelfshelf.Member
-	// Substitutes returns the instances that own the rate-limited targets of a data centre in which
+	// FallbackCandidates returns the instances that own the rate-limited targets of a data centre in which
 	// no instance runs; a nil function means that there are none.
-	Substitutes func(shelfshelf.DataCentre) []shelfshelf.Member
-	// Heard receives what the sender of a slot request knows of the announcements of its target.
-	Heard func(shelfshelf.TargetWord)
+	FallbackCandidates func(shelfshelf.DataCentre) []shelfshelf.Member
+	// OnAnnouncement receives what the sender of a slot request knows of the announcements of its target.
+	OnAnnouncement func(shelfshelf.TargetAnnouncement)
 	// Send sends a datagram. The next sync makes up for lost ones.
 	Send func(to netip.AddrPort, content []byte)
 
 	mu     sync.Mutex
-	lastID shelfshelf.PlaceID
+	lastID shelfshelf.SlotID
 	// slots holds all slots and slot requests that have not been released.
-	slots map[shelfshelf.PlaceID]*slot
+	slots map[shelfshelf.SlotID]*slot
 	// pendingAnswers holds the owners with unanswered requests.
 	pendingAnswers map[netip.AddrPort]*pendingAnswer
 	// recentOwners maps the owners that may believe that this instance holds slots of theirs to the
@@ -62,31 +62,31 @@
 	owner      netip.AddrPort
 	held       bool
 	// answer receives the first answer; it is nil once that has arrived or is late.
-	answer  chan<- shelfshelf.PlaceAnswer
-	granted chan<- shelfshelf.PlaceID
+	answer  chan<- shelfshelf.SlotResponse
+	granted chan<- shelfshelf.SlotID
 }
 
-// Ask requests a slot from the owner of the target. An owner that answers within ownerTimeout
+// Request requests a slot from the owner of the target. An owner that answers within ownerTimeout
 // remains the owner, however late that is for the request: with a second one, the target would have
 // two slot tables, each granting all of its slots.
-func (c *Client) Ask(ctx context.Context, req shelfshelf.PlaceAsk, granted chan<- shelfshelf.PlaceID) shelfshelf.PlaceAnswer {
+func (c *Client) Request(ctx context.Context, req shelfshelf.SlotRequest, granted chan<- shelfshelf.SlotID) shelfshelf.SlotResponse {
 	owner, found := c.ownerFor(req)
 	if !found {
-		return shelfshelf.PlaceAnswer{}
+		return shelfshelf.SlotResponse{}
 	}
-	answers := make(chan shelfshelf.PlaceAnswer, 1)
+	answers := make(chan shelfshelf.SlotResponse, 1)
 	id := c.register(&slot{target: req.Target, dataCentre: req.DataCentre, owner: owner, answer: answers, granted: granted})
 	if owner == c.Self.Address {
-		c.deliverAnswer(c.Book.Ask(c.Self, id, req))
+		c.deliverAnswer(c.Table.Request(c.Self, id, req))
 	} else {
 		c.send(owner, message{kind: kindRequest, incarnation: c.Self.Incarnation, id: id, request: req})
 	}
 	select {
 	case answer := <-answers:
-		if answer.Outcome == shelfshelf.PlaceUnknown {
-			c.Give(id, false)
+		if answer.Outcome == shelfshelf.SlotNoOwner {
+			c.Release(id, false)
 		}
-		if answer.Outcome == shelfshelf.PlaceRests {
+		if answer.Outcome == shelfshelf.SlotUnavailable {
 			// The owner keeps no record of the request.
 			c.forget(id)
 		}
@@ -100,7 +100,7 @@
 
 // detachAnswer keeps a request open whose answer is late. A slot granted from now on is sent to the
 // granted channel.
-func (c *Client) detachAnswer(id shelfshelf.PlaceID, answers <-chan shelfshelf.PlaceAnswer) shelfshelf.PlaceAnswer {
+func (c *Client) detachAnswer(id shelfshelf.SlotID, answers <-chan shelfshelf.SlotResponse) shelfshelf.SlotResponse {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	select {
@@ -112,14 +112,14 @@
 	if s := c.slots[id]; s != nil {
 		s.answer = nil
 	}
-	return shelfshelf.PlaceAnswer{ID: id, Outcome: shelfshelf.PlaceUnanswered}
+	return shelfshelf.SlotResponse{ID: id, Outcome: shelfshelf.SlotPending}
 }
 
-func (c *Client) register(s *slot) shelfshelf.PlaceID {
+func (c *Client) register(s *slot) shelfshelf.SlotID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.slots == nil {
-		c.slots = make(map[shelfshelf.PlaceID]*slot)
+		c.slots = make(map[shelfshelf.SlotID]*slot)
 	}
 	c.lastID++
 	c.slots[c.lastID] = s
@@ -139,45 +139,45 @@
 	c.recentOwners[owner] = trailingSyncs
 }
 
-// Took records a slot that was taken without a grant by an owner. The next sync reports it to the
+// RecordLocalGrant records a slot that was taken without a grant by an owner. The next sync reports it to the
 // owner.
-func (c *Client) Took(target shelfshelf.TargetKey, dataCentre shelfshelf.DataCentre) shelfshelf.PlaceID {
+func (c *Client) RecordLocalGrant(target shelfshelf.TargetKey, dataCentre shelfshelf.DataCentre) shelfshelf.SlotID {
 	return c.register(&slot{target: target, dataCentre: dataCentre, held: true})
 }
 
-// Give releases a slot. If the target was unreachable, its owner starts a backoff for all
+// Release releases a slot. If the target was unreachable, its owner starts a backoff for all
 // instances.
-func (c *Client) Give(id shelfshelf.PlaceID, unreachable bool) {
+func (c *Client) Release(id shelfshelf.SlotID, unreachable bool) {
 	owner := c.forget(id)
 	switch {
 	case !owner.IsValid():
 	case !unreachable:
 		c.release(owner, id)
 	case owner == c.Self.Address:
-		c.Book.Unreachable(c.Self, id)
+		c.Table.ReleaseUnreachable(c.Self, id)
 	default:
 		c.send(owner, message{kind: kindUnreachable, incarnation: c.Self.Incarnation, id: id})
 	}
 }
 
-// Leave withdraws a queued request; served says whether it got a slot at another target.
-func (c *Client) Leave(id shelfshelf.PlaceID, served bool) {
+// Withdraw withdraws a queued request; served says whether it got a slot at another target.
+func (c *Client) Withdraw(id shelfshelf.SlotID, served bool) {
 	owner := c.forget(id)
 	switch {
 	case !owner.IsValid():
 	case owner == c.Self.Address:
-		c.Book.Leave(c.Self, id, served)
+		c.Table.Withdraw(c.Self, id, served)
 	default:
-		outcome := shelfshelf.PlaceUnknown
+		outcome := shelfshelf.SlotNoOwner
 		if served {
-			outcome = shelfshelf.PlaceGranted
+			outcome = shelfshelf.SlotGranted
 		}
 		c.send(owner, message{kind: kindWithdraw, incarnation: c.Self.Incarnation, id: id, outcome: outcome})
 	}
 }
 
 // forget removes a slot and returns the owner that knows of it, if any.
-func (c *Client) forget(id shelfshelf.PlaceID) netip.AddrPort {
+func (c *Client) forget(id shelfshelf.SlotID) netip.AddrPort {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.slots[id]
@@ -188,9 +188,9 @@
 	return s.owner
 }
 
-func (c *Client) release(owner netip.AddrPort, id shelfshelf.PlaceID) {
+func (c *Client) release(owner netip.AddrPort, id shelfshelf.SlotID) {
 	if owner == c.Self.Address {
-		c.Book.Release(c.Self, id)
+		c.Table.Release(c.Self, id)
 		return
 	}
 	c.send(owner, message{kind: kindRelease, incarnation: c.Self.Incarnation, id: id})
@@ -199,7 +199,7 @@
 // deliverAnswer handles an owner's answer to a request of this instance: the first one goes to the
 // caller of Ask, and a later grant to the granted channel. It reports whether the request is still
 // open.
-func (c *Client) deliverAnswer(answer shelfshelf.PlaceAnswer) bool {
+func (c *Client) deliverAnswer(answer shelfshelf.SlotResponse) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.slots[answer.ID]
@@ -209,7 +209,7 @@
 	if s.held {
 		return true
 	}
-	s.held = answer.Outcome == shelfshelf.PlaceGranted
+	s.held = answer.Outcome == shelfshelf.SlotGranted
 	switch {
 	case s.answer != nil:
 		s.answer <- answer
@@ -223,7 +223,7 @@
 // deliverGrant sends a slot to the granted channel. The caller must hold c.mu, so the send must not
 // block: the channel may be full if its receiver is withdrawing its requests at this moment. It
 // reports whether the slot was delivered.
-func (c *Client) deliverGrant(s *slot, id shelfshelf.PlaceID) bool {
+func (c *Client) deliverGrant(s *slot, id shelfshelf.SlotID) bool {
 	select {
 	case s.granted <- id:
 		return true
@@ -243,18 +243,18 @@
 	holder := Holder{Address: from, Incarnation: m.incarnation}
 	switch m.kind {
 	case kindRequest:
-		if m.request.Said.Version > 0 {
-			c.Heard(m.request.Said)
+		if m.request.Announcement.Version > 0 {
+			c.OnAnnouncement(m.request.Announcement)
 		}
-		c.reply(holder, c.Book.Ask(holder, m.id, m.request))
+		c.reply(holder, c.Table.Request(holder, m.id, m.request))
 	case kindRelease:
-		c.Book.Release(holder, m.id)
+		c.Table.Release(holder, m.id)
 	case kindUnreachable:
-		c.Book.Unreachable(holder, m.id)
+		c.Table.ReleaseUnreachable(holder, m.id)
 	case kindWithdraw:
-		c.Book.Leave(holder, m.id, m.outcome == shelfshelf.PlaceGranted)
+		c.Table.Withdraw(holder, m.id, m.outcome == shelfshelf.SlotGranted)
 	case kindSync:
-		c.Book.Sync(holder, m.held)
+		c.Table.Sync(holder, m.held)
 	case kindAnswer:
 		c.handleAnswer(m, from)
 	default:
@@ -268,28 +268,28 @@
 		return
 	}
 	c.clearPendingAnswer(from)
-	active := c.deliverAnswer(shelfshelf.PlaceAnswer{ID: m.id, Outcome: m.outcome, Requests: m.requests, Rest: m.backoff})
-	if !active && m.outcome != shelfshelf.PlaceUnknown && m.outcome != shelfshelf.PlaceRests {
+	active := c.deliverAnswer(shelfshelf.SlotResponse{ID: m.id, Outcome: m.outcome, InUse: m.requests, RetryAfter: m.backoff})
+	if !active && m.outcome != shelfshelf.SlotNoOwner && m.outcome != shelfshelf.SlotUnavailable {
 		c.release(from, m.id)
 	}
 }
 
 // reply sends an owner's answer to a holder.
-func (c *Client) reply(to Holder, answer shelfshelf.PlaceAnswer) {
+func (c *Client) reply(to Holder, answer shelfshelf.SlotResponse) {
 	c.send(to.Address, message{
-		kind: kindAnswer, incarnation: to.Incarnation, id: answer.ID, outcome: answer.Outcome, requests: answer.Requests, backoff: answer.Rest,
+		kind: kindAnswer, incarnation: to.Incarnation, id: answer.ID, outcome: answer.Outcome, requests: answer.InUse, backoff: answer.RetryAfter,
 	})
 }
 
-// Grant tells a holder that its queued request was granted; it is meant for Book.Grant.
-func (c *Client) Grant(holder Holder, id shelfshelf.PlaceID, requests int) {
-	answer := shelfshelf.PlaceAnswer{ID: id, Outcome: shelfshelf.PlaceGranted, Requests: requests}
+// SendGrant tells a holder that its queued request was granted; it is meant for Book.SendGrant.
+func (c *Client) SendGrant(holder Holder, id shelfshelf.SlotID, requests int) {
+	answer := shelfshelf.SlotResponse{ID: id, Outcome: shelfshelf.SlotGranted, InUse: requests}
 	if holder != c.Self {
 		c.reply(holder, answer)
 		return
 	}
 	if !c.deliverAnswer(answer) {
-		c.Book.Release(holder, id)
+		c.Table.Release(holder, id)
 	}
 }
 
@@ -315,7 +315,7 @@
 // runGateLoop grants slots to queued requests whenever the gate of their target opens.
 func (c *Client) runGateLoop(ctx context.Context) error {
 	for {
-		at, earlier := c.Book.Opening()
+		at, earlier := c.Table.NextGateOpening()
 		var opens <-chan time.Time
 		if !at.IsZero() {
 			opens = c.Clock.After(at.Sub(c.Clock.Now()))
@@ -325,7 +325,7 @@
 			return nil
 		case <-earlier:
 		case <-opens:
-			c.Book.Open()
+			c.Table.GrantOpened()
 		}
 	}
 }
@@ -339,21 +339,21 @@
 		}
 		for owner, held := range c.heldByOwner() {
 			if owner == c.Self.Address {
-				c.Book.Sync(c.Self, held)
+				c.Table.Sync(c.Self, held)
 				continue
 			}
 			c.send(owner, message{kind: kindSync, incarnation: c.Self.Incarnation, held: held})
 		}
-		c.Book.Sweep(c.Self)
+		c.Table.Sweep(c.Self)
 	}
 }
 
 // heldByOwner returns the held slots by their current owner. Owners that this instance was recently
 // in contact with are included with an empty list if it holds none of their slots.
-func (c *Client) heldByOwner() map[netip.AddrPort]map[shelfshelf.PlaceID]shelfshelf.TargetKey {
+func (c *Client) heldByOwner() map[netip.AddrPort]map[shelfshelf.SlotID]shelfshelf.TargetKey {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	lists := make(map[netip.AddrPort]map[shelfshelf.PlaceID]shelfshelf.TargetKey)
+	lists := make(map[netip.AddrPort]map[shelfshelf.SlotID]shelfshelf.TargetKey)
 	for id, s := range c.slots {
 		if !s.held {
 			continue
@@ -364,7 +364,7 @@
 		}
 		s.owner = owner
 		if lists[owner] == nil {
-			lists[owner] = make(map[shelfshelf.PlaceID]shelfshelf.TargetKey)
+			lists[owner] = make(map[shelfshelf.SlotID]shelfshelf.TargetKey)
 		}
 		lists[owner][id] = s.target
 		c.recordOwnerContact(owner)
--- a/places/client_test.go
+++ b/places/client_test.go
@@ -12,12 +12,12 @@
 // the first slot that is released.
 func TestInstancesShareATarget(t *testing.T) {
 	inNetwork(t, 4, func(ctx context.Context, net *network) {
-		granted := make(chan shelfshelf.PlaceID, 9)
-		var first shelfshelf.PlaceID
+		granted := make(chan shelfshelf.SlotID, 9)
+		var first shelfshelf.SlotID
 		grants := 0
 		for n := range 4 {
-			answer := net.clients[addressOf(n+1)].Ask(ctx, requestFor(7, time.Second), granted)
-			if answer.Outcome == shelfshelf.PlaceGranted {
+			answer := net.clients[addressOf(n+1)].Request(ctx, requestFor(7, time.Second), granted)
+			if answer.Outcome == shelfshelf.SlotGranted {
 				grants++
 			}
 			if n == 0 {
@@ -27,7 +27,7 @@
 		if grants != testSlots {
 			t.Fatalf("%d of %d slots were granted", grants, testSlots)
 		}
-		net.clients[addressOf(1)].Give(first, false)
+		net.clients[addressOf(1)].Release(first, false)
 		select {
 		case <-granted:
 		case <-time.After(100 * time.Millisecond):
@@ -42,10 +42,10 @@
 		net.setLossRate(0.3)
 		for round := range 40 {
 			c := net.clients[addressOf(round%5+1)]
-			granted := make(chan shelfshelf.PlaceID, 1)
-			answer := c.Ask(ctx, requestFor(shelfshelf.TargetKey(round%3), 50*time.Millisecond), granted)
+			granted := make(chan shelfshelf.SlotID, 1)
+			answer := c.Request(ctx, requestFor(shelfshelf.TargetKey(round%3), 50*time.Millisecond), granted)
 			time.Sleep(60 * time.Millisecond)
-			c.Give(answer.ID, false)
+			c.Release(answer.ID, false)
 		}
 		net.setLossRate(0)
 		time.Sleep(4 * time.Second)
@@ -62,11 +62,11 @@
 func TestSlowOwnersStayOwners(t *testing.T) {
 	inNetwork(t, 4, func(ctx context.Context, net *network) {
 		net.setDelay(40 * time.Millisecond)
-		granted := make(chan shelfshelf.PlaceID, 99)
+		granted := make(chan shelfshelf.SlotID, 99)
 		grants := 0
 		for round := range 12 {
 			requester := net.clients[addressOf(round%4+1)]
-			if got := requester.Ask(ctx, requestFor(7, 2*time.Second), granted); got.Outcome == shelfshelf.PlaceGranted {
+			if got := requester.Request(ctx, requestFor(7, 2*time.Second), granted); got.Outcome == shelfshelf.SlotGranted {
 				grants++
 			}
 		}
@@ -81,13 +81,13 @@
 // released.
 func TestLateGrantsAreDelivered(t *testing.T) {
 	inNetwork(t, 2, func(ctx context.Context, net *network) {
-		granted := make(chan shelfshelf.PlaceID, 1)
+		granted := make(chan shelfshelf.SlotID, 1)
 		requester := net.clients[addressOf(1)]
 		target, _ := targetOwnedElsewhere(requester)
 		net.setDelay(50 * time.Millisecond)
 		began := time.Now()
-		got := requester.Ask(ctx, requestFor(target, time.Second), granted)
-		if took := time.Since(began); got.Outcome != shelfshelf.PlaceUnanswered || took != answerTimeout {
+		got := requester.Request(ctx, requestFor(target, time.Second), granted)
+		if took := time.Since(began); got.Outcome != shelfshelf.SlotPending || took != answerTimeout {
 			t.Fatalf("%+v after %v", got, took)
 		}
 		select {
@@ -98,7 +98,7 @@
 		case <-time.After(61 * time.Millisecond):
 			t.Fatal("the late grant was not delivered")
 		}
-		requester.Give(got.ID, false)
+		requester.Release(got.ID, false)
 		time.Sleep(60 * time.Millisecond)
 		if held := net.held(target); held != 0 {
 			t.Errorf("%d slots are left", held)
@@ -109,11 +109,11 @@
 // After the owner has failed, the next one answers soon and learns which slots are held.
 func TestOwnersAreReplaced(t *testing.T) {
 	inNetwork(t, 4, func(ctx context.Context, net *network) {
-		granted := make(chan shelfshelf.PlaceID, 9)
+		granted := make(chan shelfshelf.SlotID, 9)
 		requester := net.clients[addressOf(1)]
 		target, owner := targetOwnedElsewhere(requester)
 		for range 2 {
-			if got := requester.Ask(ctx, requestFor(target, 0), granted); got.Outcome != shelfshelf.PlaceGranted {
+			if got := requester.Request(ctx, requestFor(target, 0), granted); got.Outcome != shelfshelf.SlotGranted {
 				t.Fatalf("%+v", got)
 			}
 		}
@@ -121,14 +121,14 @@
 		began := time.Now()
 		for {
 			asked := time.Now()
-			got := requester.Ask(ctx, requestFor(target, 0), granted)
-			if got.Outcome == shelfshelf.PlaceGranted {
+			got := requester.Request(ctx, requestFor(target, 0), granted)
+			if got.Outcome == shelfshelf.SlotGranted {
 				break
 			}
 			if took := time.Since(asked); took > answerTimeout {
 				t.Fatalf("%+v after %v", got, took)
 			}
-			requester.Give(got.ID, false)
+			requester.Release(got.ID, false)
 		}
 		if took := time.Since(began); took > ownerTimeout+answerTimeout {
 			t.Errorf("the next owner answered after %v", took)
@@ -144,7 +144,7 @@
 // An owner that no request reaches is replaced, although its own messages still arrive.
 func TestOwnersThatReceiveNothingAreReplaced(t *testing.T) {
 	inNetwork(t, 4, func(ctx context.Context, net *network) {
-		granted := make(chan shelfshelf.PlaceID, 99)
+		granted := make(chan shelfshelf.SlotID, 99)
 		requester := net.clients[addressOf(1)]
 		target, address := targetOwnedElsewhere(requester)
 		owner := net.clients[address]
@@ -155,8 +155,8 @@
 		}
 		net.cutLink(requester.Self.Address, address)
 		began := time.Now()
-		for requester.Ask(ctx, requestFor(target, 0), granted).Outcome != shelfshelf.PlaceGranted {
-			owner.Ask(ctx, requestFor(reverseTarget, 0), granted)
+		for requester.Request(ctx, requestFor(target, 0), granted).Outcome != shelfshelf.SlotGranted {
+			owner.Request(ctx, requestFor(reverseTarget, 0), granted)
 			if took := time.Since(began); took > ownerTimeout+3*answerTimeout {
 				t.Fatalf("no slot after %v", took)
 			}
@@ -168,22 +168,22 @@
 // slot over, the slot is removed from the slot table of the first instance.
 func TestSlotsThatChangeOwnersAreFreed(t *testing.T) {
 	inNetwork(t, 2, func(ctx context.Context, net *network) {
-		granted := make(chan shelfshelf.PlaceID, 9)
+		granted := make(chan shelfshelf.SlotID, 9)
 		requester := net.clients[addressOf(1)]
 		target, owner := targetOwnedElsewhere(requester)
 		// The requests are timed between two syncs, at 1 and 2 s, such that the owner is skipped from
 		// 0.95 to 1.95 s.
 		time.Sleep(700 * time.Millisecond)
 		net.kill(owner, true)
-		requester.Give(requester.Ask(ctx, requestFor(target, 0), granted).ID, false)
+		requester.Release(requester.Request(ctx, requestFor(target, 0), granted).ID, false)
 		time.Sleep(400 * time.Millisecond)
-		got := requester.Ask(ctx, requestFor(target, 0), granted)
-		if got.Outcome != shelfshelf.PlaceGranted {
+		got := requester.Request(ctx, requestFor(target, 0), granted)
+		if got.Outcome != shelfshelf.SlotGranted {
 			t.Fatalf("%+v", got)
 		}
 		net.revive(owner)
 		time.Sleep(time.Second)
-		requester.Give(got.ID, false)
+		requester.Release(got.ID, false)
 		time.Sleep(3 * time.Second)
 		if held := net.held(target); held != 0 {
 			t.Errorf("%d slots are taken by nobody", held)
@@ -199,19 +199,19 @@
 		target, _ := targetOwnedElsewhere(requester)
 		net.setLossRate(1)
 		began := time.Now()
-		got := requester.Ask(ctx, requestFor(target, 0), make(chan shelfshelf.PlaceID, 1))
-		if took := time.Since(began); got.Outcome != shelfshelf.PlaceUnanswered || took > answerTimeout {
+		got := requester.Request(ctx, requestFor(target, 0), make(chan shelfshelf.SlotID, 1))
+		if took := time.Since(began); got.Outcome != shelfshelf.SlotPending || took > answerTimeout {
 			t.Errorf("%+v after %v", got, took)
 		}
-		requester.Give(got.ID, false)
+		requester.Release(got.ID, false)
 		net.setLossRate(0)
 		time.Sleep(ownerTimeout + ownerSkipPeriod)
-		id := requester.Took(target, "")
+		id := requester.RecordLocalGrant(target, "")
 		time.Sleep(1100 * time.Millisecond)
 		if held := net.held(target); held != 1 {
 			t.Errorf("%d slots are known to be held", held)
 		}
-		requester.Give(id, false)
+		requester.Release(id, false)
 		time.Sleep(10 * time.Millisecond)
 		if held := net.held(target); held != 0 {
 			t.Errorf("%d slots are left", held)
@@ -224,19 +224,19 @@
 func TestUnclaimedGrantsAreReleased(t *testing.T) {
 	inNetwork(t, 1, func(ctx context.Context, net *network) {
 		c := net.clients[addressOf(1)]
-		unbuffered := make(chan shelfshelf.PlaceID) // no receiver
-		var held []shelfshelf.PlaceID
+		unbuffered := make(chan shelfshelf.SlotID) // no receiver
+		var held []shelfshelf.SlotID
 		for range testSlots {
-			held = append(held, c.Ask(ctx, requestFor(7, 0), unbuffered).ID)
+			held = append(held, c.Request(ctx, requestFor(7, 0), unbuffered).ID)
 		}
-		if got := c.Ask(ctx, requestFor(7, time.Second), unbuffered); got.Outcome != shelfshelf.PlaceWaits {
+		if got := c.Request(ctx, requestFor(7, time.Second), unbuffered); got.Outcome != shelfshelf.SlotQueued {
 			t.Fatalf("%+v", got)
 		}
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
 			for _, id := range held {
-				c.Give(id, false)
+				c.Release(id, false)
 			}
 		}()
 		select {
@@ -244,7 +244,7 @@
 		case <-time.After(time.Second):
 			t.Fatal("a grant that nobody receives blocks the client")
 		}
-		if left := c.Book.Held(7); left != 0 {
+		if left := c.Table.Held(7); left != 0 {
 			t.Errorf("%d slots are still taken", left)
 		}
 	})
--- a/places/fairness.go
+++ b/places/fairness.go
@@ -36,19 +36,19 @@
 	groups map[fairnessGroup]map[int]*decay.Share
 }
 
-func groupOf(req shelfshelf.PlaceAsk) fairnessGroup {
+func groupOf(req shelfshelf.SlotRequest) fairnessGroup {
 	return fairnessGroup{rank: req.Rank, tier: req.Tier}
 }
 
 // lengthBucket returns the power-of-two bucket of a request by its expected hold time in
 // milliseconds.
-func lengthBucket(req shelfshelf.PlaceAsk) int {
-	return bits.Len64(uint64(max(req.Stay.Milliseconds(), 0)))
+func lengthBucket(req shelfshelf.SlotRequest) int {
+	return bits.Len64(uint64(max(req.HoldTime.Milliseconds(), 0)))
 }
 
 // record counts a request that has left the queue.
-func (l *lengthFairness) record(req shelfshelf.PlaceAsk, served bool, now time.Time) {
-	if req.Begun {
+func (l *lengthFairness) record(req shelfshelf.SlotRequest, served bool, now time.Time) {
+	if req.Started {
 		return
 	}
 	if l.groups == nil {
@@ -64,7 +64,7 @@
 		share = &decay.Share{}
 		buckets[lengthBucket(req)] = share
 	}
-	share.Fade(now, fairnessHalfLife)
+	share.Decay(now, fairnessHalfLife)
 	share.Note(served)
 }
 
@@ -74,19 +74,19 @@
 func (l *lengthFairness) nextIndex(queue []queuedRequest, now time.Time) int {
 	first := queue[0].request
 	buckets := l.groups[groupOf(first)]
-	if first.Begun || len(buckets) == 0 {
+	if first.Started || len(buckets) == 0 {
 		return 0
 	}
 	var all decay.Share
 	for _, share := range buckets {
-		share.Fade(now, fairnessHalfLife)
+		share.Decay(now, fairnessHalfLife)
 		all.Offered += share.Offered
 		all.Served += share.Served
 	}
 	lowest := minRelativeShare * all.Served / max(all.Offered, minOffered)
 	chosen := 0
 	for i, q := range queue {
-		if q.request.Begun != first.Begun || groupOf(q.request) != groupOf(first) {
+		if q.request.Started != first.Started || groupOf(q.request) != groupOf(first) {
 			break
 		}
 		share := buckets[lengthBucket(q.request)]
--- a/places/network_test.go
+++ b/places/network_test.go
@@ -123,10 +123,10 @@
 			time.AfterFunc(net.currentDelay(), func() { receiver.Receive(content, address) })
 		}
 	}
-	c.Book = &Book{
+	c.Table = &SlotTable{
 		Clock:    c.Clock,
 		Capacity: func(shelfshelf.TargetKey) (Capacity, bool) { return Capacity{Slots: testSlots}, true },
-		Grant:    c.Grant,
+		SendGrant:    c.SendGrant,
 	}
 	net.mu.Lock()
 	net.clients[address] = c
@@ -142,7 +142,7 @@
 	highest := 0
 	for address, c := range net.clients {
 		if !net.dead[address] {
-			highest = max(highest, c.Book.Held(target))
+			highest = max(highest, c.Table.Held(target))
 		}
 	}
 	return highest
@@ -158,8 +158,8 @@
 	})
 }
 
-func requestFor(target shelfshelf.TargetKey, wait time.Duration) shelfshelf.PlaceAsk {
-	return shelfshelf.PlaceAsk{Target: target, Wait: wait}
+func requestFor(target shelfshelf.TargetKey, wait time.Duration) shelfshelf.SlotRequest {
+	return shelfshelf.SlotRequest{Target: target, MaxWait: wait}
 }
 
 // targetOwnedElsewhere returns a target that another instance owns, and its owner.
--- a/places/overload_test.go
+++ b/places/overload_test.go
@@ -31,34 +31,34 @@
 	clock  *clockwork.FakeClock
 	began  time.Time
 	random *rand.Rand
-	book   *places.Book
+	book   *places.SlotTable
 	// slowdowns holds for each target the factor by which requests take longer there.
 	slowdowns []float64
 	events    timeline
 	scheduled int
-	requests  map[shelfshelf.PlaceID]*request
-	lastID    shelfshelf.PlaceID
+	requests  map[shelfshelf.SlotID]*request
+	lastID    shelfshelf.SlotID
 }
 
 // request is a request that needs a slot at one of several targets.
 type request struct {
 	holdTime time.Duration
-	asked    map[shelfshelf.PlaceID]int
+	asked    map[shelfshelf.SlotID]int
 	served   bool
 }
 
 func newOverload(seed uint64) *overload {
 	o := &overload{
 		clock: clockwork.NewFakeClock(), random: rand.New(rand.NewPCG(seed, 1)),
-		slowdowns: []float64{1, 1, 1, 1, 4, 4}, requests: make(map[shelfshelf.PlaceID]*request),
+		slowdowns: []float64{1, 1, 1, 1, 4, 4}, requests: make(map[shelfshelf.SlotID]*request),
 	}
 	o.began = o.clock.Now()
-	o.book = &places.Book{
+	o.book = &places.SlotTable{
 		Clock: o.clock,
 		Capacity: func(target shelfshelf.TargetKey) (places.Capacity, bool) {
 			return places.Capacity{Slots: slotsPerTarget}, int(target) < len(o.slowdowns)
 		},
-		Grant: func(_ places.Holder, id shelfshelf.PlaceID, _ int) { o.granted(id) },
+		SendGrant: func(_ places.Holder, id shelfshelf.SlotID, _ int) { o.granted(id) },
 	}
 	return o
 }
@@ -77,7 +77,7 @@
 	var all []*request
 	for at := time.Duration(0); at < time.Minute; at += time.Duration(o.random.ExpFloat64() * float64(interval)) {
 		tokens := 200 * math.Exp(1.3*o.random.NormFloat64())
-		req := &request{holdTime: time.Duration(tokens * 4 * float64(time.Millisecond)), asked: make(map[shelfshelf.PlaceID]int)}
+		req := &request{holdTime: time.Duration(tokens * 4 * float64(time.Millisecond)), asked: make(map[shelfshelf.SlotID]int)}
 		all = append(all, req)
 		o.at(at, func() { o.arrive(req) })
 	}
@@ -102,11 +102,11 @@
 		o.lastID++
 		req.asked[o.lastID] = target
 		o.requests[o.lastID] = req
-		slotRequest := shelfshelf.PlaceAsk{
-			Target: shelfshelf.TargetKey(target), Tier: 1, Wait: queueTimeout,
-			Stay: time.Duration(float64(req.holdTime) * o.slowdowns[target]),
+		slotRequest := shelfshelf.SlotRequest{
+			Target: shelfshelf.TargetKey(target), Tier: 1, MaxWait: queueTimeout,
+			HoldTime: time.Duration(float64(req.holdTime) * o.slowdowns[target]),
 		}
-		if o.book.Ask(holder(1), o.lastID, slotRequest).Outcome == shelfshelf.PlaceGranted {
+		if o.book.Request(holder(1), o.lastID, slotRequest).Outcome == shelfshelf.SlotGranted {
 			o.granted(o.lastID)
 			return
 		}
@@ -115,7 +115,7 @@
 }
 
 // granted runs a request at the target that granted it a slot, unless it already has one.
-func (o *overload) granted(id shelfshelf.PlaceID) {
+func (o *overload) granted(id shelfshelf.SlotID) {
 	req := o.requests[id]
 	if req.served {
 		o.after(0, func() { o.book.Release(holder(1), id) })
@@ -131,7 +131,7 @@
 // leave withdraws a request from all queues that it is still in.
 func (o *overload) leave(req *request) {
 	for _, id := range slices.Sorted(maps.Keys(req.asked)) {
-		o.book.Leave(holder(1), id, req.served)
+		o.book.Withdraw(holder(1), id, req.served)
 		delete(req.asked, id)
 	}
 }
--- a/places/owner.go
+++ b/places/owner.go
@@ -23,8 +23,8 @@
 // request (the target has a rate limit or may be cold) goes to the primary owner only, the
 // highest-ranked instance of all, even if that does not respond: any other owner would grant the
 // full rate again.
-func (c *Client) ownerFor(req shelfshelf.PlaceAsk) (netip.AddrPort, bool) {
-	if req.Strict {
+func (c *Client) ownerFor(req shelfshelf.SlotRequest) (netip.AddrPort, bool) {
+	if req.PrimaryOwnerOnly {
 		return c.primaryOwner(req.Target, req.DataCentre)
 	}
 	return c.respondingOwner(req.Target, req.DataCentre)
@@ -41,8 +41,8 @@
 // instance runs in the data centre, it is one of the Substitutes.
 func (c *Client) primaryOwner(target shelfshelf.TargetKey, dataCentre shelfshelf.DataCentre) (netip.AddrPort, bool) {
 	candidates := c.Candidates(dataCentre)
-	if len(candidates) == 0 && c.Substitutes != nil {
-		candidates = c.Substitutes(dataCentre)
+	if len(candidates) == 0 && c.FallbackCandidates != nil {
+		candidates = c.FallbackCandidates(dataCentre)
 	}
 	return highestScoring(candidates, target, func(netip.AddrPort) bool { return true })
 }
--- a/places/wire.go
+++ b/places/wire.go
@@ -39,12 +39,12 @@
 	kind kind
 	// incarnation is that of the holder.
 	incarnation uint64
-	id          shelfshelf.PlaceID
-	request     shelfshelf.PlaceAsk
-	outcome     shelfshelf.PlaceOutcome
+	id          shelfshelf.SlotID
+	request     shelfshelf.SlotRequest
+	outcome     shelfshelf.SlotOutcome
 	requests    int
 	backoff     time.Duration
-	held        map[shelfshelf.PlaceID]shelfshelf.TargetKey
+	held        map[shelfshelf.SlotID]shelfshelf.TargetKey
 }
 
 type (
@@ -80,17 +80,17 @@
 		Incarnation:   m.incarnation,
 		ID:            uint64(m.id),
 		Target:        uint32(m.request.Target),
-		Begun:         m.request.Begun,
+		Begun:         m.request.Started,
 		Rank:          m.request.Rank,
 		Tier:          int(m.request.Tier),
-		WaitMillis:    m.request.Wait.Milliseconds(),
-		StayMillis:    m.request.Stay.Milliseconds(),
+		WaitMillis:    m.request.MaxWait.Milliseconds(),
+		StayMillis:    m.request.HoldTime.Milliseconds(),
 		Outcome:       uint8(m.outcome),
 		Requests:      m.requests,
 		BackoffMillis: ceilMillis(m.backoff),
 	}
-	if m.request.Said.Version > 0 {
-		wire.Announcement = announced.ToWire([]shelfshelf.TargetWord{m.request.Said})
+	if m.request.Announcement.Version > 0 {
+		wire.Announcement = announced.ToWire([]shelfshelf.TargetAnnouncement{m.request.Announcement})
 	}
 	for id, target := range m.held {
 		wire.Held = append(wire.Held, wireSlot{ID: uint64(id), Target: uint32(target)})
@@ -113,29 +113,29 @@
 	m := message{
 		kind:        kind(wire.Kind),
 		incarnation: wire.Incarnation,
-		id:          shelfshelf.PlaceID(wire.ID),
-		request: shelfshelf.PlaceAsk{
+		id:          shelfshelf.SlotID(wire.ID),
+		request: shelfshelf.SlotRequest{
 			Target: shelfshelf.TargetKey(wire.Target),
-			Begun:  wire.Begun,
+			Started:  wire.Begun,
 			Rank:   wire.Rank,
 			Tier:   shelfshelf.Tier(wire.Tier),
-			Wait:   time.Duration(wire.WaitMillis) * time.Millisecond,
-			Stay:   time.Duration(wire.StayMillis) * time.Millisecond,
+			MaxWait:   time.Duration(wire.WaitMillis) * time.Millisecond,
+			HoldTime:   time.Duration(wire.StayMillis) * time.Millisecond,
 		},
-		outcome:  shelfshelf.PlaceOutcome(wire.Outcome),
+		outcome:  shelfshelf.SlotOutcome(wire.Outcome),
 		requests: wire.Requests,
 		backoff:  time.Duration(wire.BackoffMillis) * time.Millisecond,
 	}
 	for _, announcement := range announced.FromWire(wire.Announcement) {
 		if announcement.Target == m.request.Target {
-			m.request.Said = announcement
+			m.request.Announcement = announcement
 		}
 	}
 	if len(wire.Held) > 0 {
-		m.held = make(map[shelfshelf.PlaceID]shelfshelf.TargetKey, len(wire.Held))
+		m.held = make(map[shelfshelf.SlotID]shelfshelf.TargetKey, len(wire.Held))
 	}
 	for _, slot := range wire.Held {
-		m.held[shelfshelf.PlaceID(slot.ID)] = shelfshelf.TargetKey(slot.Target)
+		m.held[shelfshelf.SlotID(slot.ID)] = shelfshelf.TargetKey(slot.Target)
 	}
 	return m, nil
 }
--- a/places/wire_test.go
+++ b/places/wire_test.go
@@ -15,26 +15,26 @@
 		sent := message{
 			kind:        kind(rapid.Uint8Range(1, uint8(kindUnreachable)).Draw(t, "kind")),
 			incarnation: rapid.Uint64().Draw(t, "incarnation"),
-			id:          shelfshelf.PlaceID(rapid.Uint64().Draw(t, "id")),
-			request: shelfshelf.PlaceAsk{
+			id:          shelfshelf.SlotID(rapid.Uint64().Draw(t, "id")),
+			request: shelfshelf.SlotRequest{
 				Target: shelfshelf.TargetKey(rapid.Uint32().Draw(t, "target")),
-				Begun:  rapid.Bool().Draw(t, "begun"),
+				Started:  rapid.Bool().Draw(t, "begun"),
 				Rank:   rapid.IntRange(-3, 9).Draw(t, "rank"),
 				Tier:   shelfshelf.Tier(rapid.IntRange(0, 9).Draw(t, "tier")),
-				Wait:   time.Duration(rapid.IntRange(0, 1e4).Draw(t, "wait")) * time.Millisecond,
-				Stay:   time.Duration(rapid.IntRange(0, 1e5).Draw(t, "stay")) * time.Millisecond,
+				MaxWait:   time.Duration(rapid.IntRange(0, 1e4).Draw(t, "wait")) * time.Millisecond,
+				HoldTime:   time.Duration(rapid.IntRange(0, 1e5).Draw(t, "stay")) * time.Millisecond,
 			},
-			outcome:  shelfshelf.PlaceGranted,
+			outcome:  shelfshelf.SlotGranted,
 			requests: rapid.IntRange(0, 99).Draw(t, "requests"),
 			backoff:  time.Duration(rapid.IntRange(0, 1e4).Draw(t, "rest")) * time.Millisecond,
-			held: rapid.MapOfN(rapid.Custom(func(t *rapid.T) shelfshelf.PlaceID {
-				return shelfshelf.PlaceID(rapid.Uint64().Draw(t, "held"))
+			held: rapid.MapOfN(rapid.Custom(func(t *rapid.T) shelfshelf.SlotID {
+				return shelfshelf.SlotID(rapid.Uint64().Draw(t, "held"))
 			}), rapid.Just(shelfshelf.TargetKey(3)), 1, 9).Draw(t, "list"),
 		}
 		if version := rapid.Uint64().Draw(t, "limit"); version > 0 {
-			sent.request.Said = shelfshelf.TargetWord{
+			sent.request.Announcement = shelfshelf.TargetAnnouncement{
 				Target: sent.request.Target, Version: version, Leaving: rapid.Bool().Draw(t, "leaving"),
-				Limit: shelfshelf.RateLimit{Named: rapid.Bool().Draw(t, "named"), PerSecond: rapid.Float64Range(0, 1e6).Draw(t, "a second")},
+				Limit: shelfshelf.RateLimit{Set: rapid.Bool().Draw(t, "named"), PerSecond: rapid.Float64Range(0, 1e6).Draw(t, "a second")},
 			}
 		}
 		content, err := encode(sent)
--- a/prompt/prompt.go
+++ b/prompt/prompt.go
@@ -139,8 +139,8 @@
 // Marks picks the blocks that an ask names: each of the first few, then ever
 // fewer, and the last. A prompt of 32,000 tokens has some 25 marks, so that an
 // ask stays small at any length.
-func Marks(blocks []shelfshelf.BlockHash) []shelfshelf.PrefixMark {
-	var marks []shelfshelf.PrefixMark
+func Marks(blocks []shelfshelf.BlockHash) []shelfshelf.PromptPrefix {
+	var marks []shelfshelf.PromptPrefix
 	for at := 1; at <= len(blocks); {
 		marks = append(marks, markAt(blocks, at))
 		if at < denseMarks {
@@ -155,6 +155,6 @@
 	return marks
 }
 
-func markAt(blocks []shelfshelf.BlockHash, count int) shelfshelf.PrefixMark {
-	return shelfshelf.PrefixMark{Tokens: count * shelfshelf.BlockTokens, Hash: blocks[count-1]}
+func markAt(blocks []shelfshelf.BlockHash, count int) shelfshelf.PromptPrefix {
+	return shelfshelf.PromptPrefix{Tokens: count * shelfshelf.BlockTokens, Hash: blocks[count-1]}
 }
--- a/quota/buckets.go
+++ b/quota/buckets.go
@@ -10,7 +10,7 @@
 // usageBuckets is the usage of a customer divided into time buckets, the newest first. The first bucket
 // is still being filled. The bucket boundaries are fixed: if the buckets were moved by a fraction of
 // their length with every report, the usage would smear over the whole window within seconds.
-type usageBuckets [shelfshelf.UseParts + 1]float64
+type usageBuckets [shelfshelf.UsageBuckets + 1]float64
 
 // bucketTimes tells which times usageBuckets cover.
 type bucketTimes struct {
@@ -64,22 +64,22 @@
 func (t bucketTimes) fractionInWindow(i int, now time.Time) float64 {
 	newest, oldest := t.ages(i, now)
 	switch {
-	case newest >= shelfshelf.UseParts:
+	case newest >= shelfshelf.UsageBuckets:
 		return 0
-	case oldest <= shelfshelf.UseParts || t.expireWhole:
+	case oldest <= shelfshelf.UsageBuckets || t.expireWhole:
 		return 1
 	}
-	return (shelfshelf.UseParts - newest) / (oldest - newest)
+	return (shelfshelf.UsageBuckets - newest) / (oldest - newest)
 }
 
 // remaining returns how much usage is still in the window: every bucket inside it, and a fraction of
 // the bucket that is leaving it.
 func (b *usageBuckets) remaining(t bucketTimes, now time.Time) float64 {
-	inWindow := shelfshelf.UseParts - float64(now.Sub(t.newestStart))/float64(t.length)
+	inWindow := shelfshelf.UsageBuckets - float64(now.Sub(t.newestStart))/float64(t.length)
 	if inWindow < 0 {
 		return b[0] * t.fractionInWindow(0, now)
 	}
-	whole := min(int(inWindow), shelfshelf.UseParts)
+	whole := min(int(inWindow), shelfshelf.UsageBuckets)
 	sum := 0.0
 	for _, amount := range b[:whole+1] {
 		sum += amount
--- a/quota/demand_test.go
+++ b/quota/demand_test.go
@@ -121,22 +121,22 @@
 	l := &quota.Ledger{
 		Clock: clock, Window: window,
 		Instances: func() (int, int) { return 60, 60 },
-		Delay:     func() time.Duration { return delay },
+		ReportDelay:     func() time.Duration { return delay },
 	}
 	l.Start()
 	clock.Advance(window)
-	var usage []shelfshelf.CustomerUse
+	var usage []shelfshelf.CustomerUsage
 	for i := range 520 {
 		customer := limitedCustomer(1e6)
 		customer.Name = shelfshelf.CustomerName(fmt.Sprint(i))
 		l.Charge(customer, 1000)
-		usage = append(usage, shelfshelf.CustomerUse{Customer: shelfshelf.KeyOfCustomer(customer.Name), Amount: 1000})
+		usage = append(usage, shelfshelf.CustomerUsage{Customer: shelfshelf.KeyOfCustomer(customer.Name), Amount: 1000})
 	}
 	for i := range 59 {
-		l.Heard(shelfshelf.Status{From: shelfshelf.Instance{ID: shelfshelf.InstanceID(fmt.Sprint(i))}, Uses: usage})
+		l.ApplyStatus(shelfshelf.Status{From: shelfshelf.Instance{ID: shelfshelf.InstanceID(fmt.Sprint(i))}, Usage: usage})
 	}
 	for b.Loop() {
 		clock.Advance(250 * time.Millisecond)
-		l.Own()
+		l.LocalUsage()
 	}
 }
--- a/quota/keeper.go
+++ b/quota/keeper.go
@@ -25,45 +25,45 @@
 	loadRetryDelay = 300 * time.Millisecond
 )
 
-// Keeper saves the usage of customers and restores it at the start. So after a restart of all
+// UsageSaver saves the usage of customers and restores it at the start. So after a restart of all
 // instances, usage is not forgotten, and the whole limit need not be assumed used. Fields are set
 // before Run.
-type Keeper struct {
+type UsageSaver struct {
 	Clock  shelfshelf.Clock
 	Log    *log.Logger
 	Ledger *Ledger
-	Store  shelfshelf.UseStore
-	// Due reports whether this instance is the one that saves.
-	Due func() bool
-	// Recalled is called once the earlier usage is restored or known to be unavailable. It may be nil.
-	Recalled func()
+	Store  shelfshelf.UsageStore
+	// IsSaver reports whether this instance is the one that saves.
+	IsSaver func() bool
+	// OnRestored is called once the earlier usage is restored or known to be unavailable. It may be nil.
+	OnRestored func()
 
 	// saveFailing says that the last save failed.
 	saveFailing bool
 }
 
 // Run restores the usage, then saves it until the context ends.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *UsageSaver) Run(ctx context.Context) error {
 	k.restore(ctx)
-	if k.Recalled != nil {
-		k.Recalled()
+	if k.OnRestored != nil {
+		k.OnRestored()
 	}
 	return k.saveLoop(ctx)
 }
 
 // restore loads the saved usage. It retries until the first window is over, since the saved usage has
 // expired by then.
-func (k *Keeper) restore(ctx context.Context) {
-	for ctx.Err() == nil && !k.Ledger.Settled() {
-		saved, err := k.Store.LoadUses(ctx)
+func (k *UsageSaver) restore(ctx context.Context) {
+	for ctx.Err() == nil && !k.Ledger.WindowObserved() {
+		saved, err := k.Store.LoadUsage(ctx)
 		if errors.Is(err, shelfshelf.ErrNotFound) {
-			k.Ledger.NothingSaved()
+			k.Ledger.RestoreNone()
 			k.Log.Info("No customer usage was saved.")
 			return
 		}
 		if err == nil {
-			k.Ledger.Recall(saved)
-			k.Log.Info("Restored the customer usage.", "customers", len(saved.Uses), "age", saved.Age)
+			k.Ledger.Restore(saved)
+			k.Log.Info("Restored the customer usage.", "customers", len(saved.Usage), "age", saved.Age)
 			return
 		}
 		k.Log.Warn("Can't load the customer usage; retrying.", "error", err)
@@ -76,7 +76,7 @@
 
 // saveLoop saves the usage at every saveInterval, or earlier if a customer has used urgentFraction of
 // its limit since.
-func (k *Keeper) saveLoop(ctx context.Context) error {
+func (k *UsageSaver) saveLoop(ctx context.Context) error {
 	lastSave := k.Clock.Now()
 	due := false
 	for {
@@ -90,8 +90,8 @@
 		case <-k.Clock.After(interval):
 		}
 		now := k.Clock.Now()
-		due = k.Due()
-		if !due || now.Sub(lastSave) < saveInterval && k.Ledger.Growth(lastSave) < urgentFraction {
+		due = k.IsSaver()
+		if !due || now.Sub(lastSave) < saveInterval && k.Ledger.MaxRecentFraction(lastSave) < urgentFraction {
 			continue
 		}
 		lastSave = now
@@ -101,10 +101,10 @@
 
 // save saves the usage. It logs only the first of consecutive failures, and the first success after
 // them.
-func (k *Keeper) save(ctx context.Context) {
+func (k *UsageSaver) save(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, saveTimeout)
 	defer cancel()
-	err := k.Store.SaveUses(ctx, k.Ledger.All())
+	err := k.Store.SaveUsage(ctx, k.Ledger.UsageByDataCentre())
 	switch {
 	case err != nil && !k.saveFailing:
 		k.Log.Warn("Can't save the customer usage.", "error", err)
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -41,8 +41,8 @@
 	Slack float64
 	// Instances returns how many instances there are and how many of them are heard from.
 	Instances func() (known, heard int)
-	// Delay returns how long it takes until the other instances know what was used here.
-	Delay func() time.Duration
+	// ReportDelay returns how long it takes until the other instances know what was used here.
+	ReportDelay func() time.Duration
 
 	mu       sync.Mutex
 	start    time.Time
@@ -87,17 +87,17 @@
 	// Share is the part of the limit that may be admitted: the share of the instances that are heard
 	// from.
 	Share float64
-	// Expected is what the other instances are expected to use before their next report. Resting says
+	// ExpectedElsewhere is what the other instances are expected to use before their next report. Resting says
 	// that this instance has refused the customer lately, and so admits no more than its even share (or
 	// one single large request), whatever is expected.
-	Expected float64
-	Resting  bool
-	// Entry identifies the charge for Refund and Move. It is empty if nothing was charged.
-	Entry Entry
+	ExpectedElsewhere float64
+	RecentlyRefused  bool
+	// Charge identifies the charge for Refund and Move. It is empty if nothing was charged.
+	Charge Charge
 }
 
-// Entry is a charge in the ledger.
-type Entry struct {
+// Charge is a charge in the ledger.
+type Charge struct {
 	customer shelfshelf.CustomerKey
 	tokens   bool
 	cost     float64
@@ -145,7 +145,7 @@
 		Cost:    a.cost(tokens),
 		Share:   float64(max(heard, 1)) / float64(max(known, 1)),
 	}
-	delay := l.Delay()
+	delay := l.ReportDelay()
 	l.estimateDemand(a, &verdict, delay)
 	verdict.Wait = l.waitTime(a, verdict, float64(max(heard, 1)), delay)
 	if verdict.Wait > 0 {
@@ -153,19 +153,19 @@
 		return verdict
 	}
 	verdict.OK = true
-	verdict.Entry = a.charge(key, verdict.Cost)
+	verdict.Charge = a.charge(key, verdict.Cost)
 	return verdict
 }
 
 // charge records a cost as used now.
-func (a *account) charge(key shelfshelf.CustomerKey, cost float64) Entry {
+func (a *account) charge(key shelfshelf.CustomerKey, cost float64) Charge {
 	a.ownUsage.add(a.ownUsage.newest, cost)
-	return Entry{customer: key, tokens: a.tokens, cost: cost, interval: a.ownUsage.newest}
+	return Charge{customer: key, tokens: a.tokens, cost: cost, interval: a.ownUsage.newest}
 }
 
-// Growth returns the largest part of its limit that any customer has used since the given time, at most
+// MaxRecentFraction returns the largest part of its limit that any customer has used since the given time, at most
 // one window ago, if the other instances have admitted as much as this one.
-func (l *Ledger) Growth(since time.Time) float64 {
+func (l *Ledger) MaxRecentFraction(since time.Time) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	intervalLength := l.Window / intervalCount
@@ -181,8 +181,8 @@
 	return largest
 }
 
-// Settled reports whether this instance has run for at least one window.
-func (l *Ledger) Settled() bool {
+// WindowObserved reports whether this instance has run for at least one window.
+func (l *Ledger) WindowObserved() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.Clock.Now().Sub(l.start) >= l.Window
@@ -205,7 +205,7 @@
 	remaining := v.Allowed*v.Share - (v.Used - unreported)
 	evenShare := remaining/instances - unreported + l.Slack*usableSlackFraction/instances
 	withinSingle := unreported == 0 && v.Cost <= remaining*singleRequestFraction
-	withinExpected := !v.Resting && v.Cost <= remaining-unreported-v.Expected
+	withinExpected := !v.RecentlyRefused && v.Cost <= remaining-unreported-v.ExpectedElsewhere
 	if withinExpected || v.Cost <= evenShare || withinSingle {
 		return 0
 	}
@@ -223,12 +223,12 @@
 	if a.demand.sampleDue(now) {
 		a.demand.addSample(others, now)
 	}
-	v.Expected = a.demand.expectedUsage(others, now, l.Window, delay)
-	v.Resting = a.demand.recentlyRefused(now)
+	v.ExpectedElsewhere = a.demand.expectedUsage(others, now, l.Window, delay)
+	v.RecentlyRefused = a.demand.recentlyRefused(now)
 }
 
 // Refund takes back the charge of a request that did not run.
-func (l *Ledger) Refund(entry Entry) {
+func (l *Ledger) Refund(entry Charge) {
 	if entry.cost == 0 {
 		return
 	}
@@ -237,9 +237,9 @@
 	l.account(entry.customer, entry.tokens).ownUsage.add(entry.interval, -entry.cost)
 }
 
-// Move makes a charge count from now on, the time its request is sent, since the request may have
+// Recharge makes a charge count from now on, the time its request is sent, since the request may have
 // waited after it was charged. Usage counts from when a target runs the request.
-func (l *Ledger) Move(entry Entry) Entry {
+func (l *Ledger) Recharge(entry Charge) Charge {
 	if entry.cost == 0 {
 		return entry
 	}
@@ -270,12 +270,12 @@
 	return a
 }
 
-// Own returns what customers have used at this instance, for its next status, and records it as
+// LocalUsage returns what customers have used at this instance, for its next status, and records it as
 // reported.
-func (l *Ledger) Own() []shelfshelf.CustomerUse {
+func (l *Ledger) LocalUsage() []shelfshelf.CustomerUsage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var usage []shelfshelf.CustomerUse
+	var usage []shelfshelf.CustomerUsage
 	for key, a := range l.accounts {
 		a.ownUsage.advance(intervalNumber(l.Clock.Now().Sub(l.start), l.Window))
 		if now := l.Clock.Now(); a.demand.sampleDue(now) {
@@ -283,14 +283,14 @@
 		}
 		a.lastReported = a.ownUsage.sum
 		if a.ownUsage.sum > 0 {
-			usage = append(usage, shelfshelf.CustomerUse{Customer: key, Amount: a.ownUsage.sum})
+			usage = append(usage, shelfshelf.CustomerUsage{Customer: key, Amount: a.ownUsage.sum})
 		}
 	}
 	return usage
 }
 
-// Centre returns what customers have used in this data centre, for its digest.
-func (l *Ledger) Centre() []shelfshelf.CustomerUse {
+// DataCentreUsage returns what customers have used in this data centre, for its digest.
+func (l *Ledger) DataCentreUsage() []shelfshelf.CustomerUsage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return customerUsage(l.dataCentreTotals(l.Clock.Now()))
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -47,7 +47,7 @@
 	l := &quota.Ledger{
 		Clock: f.clock, Window: window, Slack: slack,
 		Instances: func() (int, int) { return size, size },
-		Delay:     func() time.Duration { return delay },
+		ReportDelay:     func() time.Duration { return delay },
 	}
 	l.Start()
 	return l
@@ -64,11 +64,11 @@
 	for i, from := range f.ledgers {
 		status := shelfshelf.Status{
 			From:        shelfshelf.Instance{ID: shelfshelf.InstanceID(fmt.Sprint(i))},
-			Incarnation: f.incarnations[i], Settled: from.Settled(), Uses: from.Own(),
+			Incarnation: f.incarnations[i], WindowObserved: from.WindowObserved(), Usage: from.LocalUsage(),
 		}
 		for j, to := range f.ledgers {
 			if i != j {
-				to.Heard(status)
+				to.ApplyStatus(status)
 			}
 		}
 	}
@@ -118,7 +118,7 @@
 }
 
 func limitedCustomer(rate float64) *shelfshelf.Customer {
-	return &shelfshelf.Customer{Name: "c", Limits: shelfshelf.Limits{TokensPerSecond: rate, TokenBurst: rate, PlainTokens: 200}}
+	return &shelfshelf.Customer{Name: "c", Limits: shelfshelf.Limits{TokensPerSecond: rate, TokenBurst: rate, DefaultRequestTokens: 200}}
 }
 
 // maxAdmissible returns how much any window may hold at most, tolerance and slack included.
@@ -208,7 +208,7 @@
 	l := &quota.Ledger{
 		Clock: clock, Window: window,
 		Instances: func() (int, int) { return 4, 1 },
-		Delay:     func() time.Duration { return delay },
+		ReportDelay:     func() time.Duration { return delay },
 	}
 	l.Start()
 	clock.Advance(window)
@@ -226,7 +226,7 @@
 
 func TestRefundRestoresTheLimit(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	l := &quota.Ledger{Clock: clock, Window: window, Instances: func() (int, int) { return 1, 1 }, Delay: func() time.Duration { return 0 }}
+	l := &quota.Ledger{Clock: clock, Window: window, Instances: func() (int, int) { return 1, 1 }, ReportDelay: func() time.Duration { return 0 }}
 	l.Start()
 	clock.Advance(window)
 	customer := limitedCustomer(1000)
@@ -235,12 +235,12 @@
 		if !v.OK {
 			t.Fatalf("%+v", v)
 		}
-		l.Refund(v.Entry)
+		l.Refund(v.Charge)
 	}
 }
 
 func TestCustomerWithoutLimitIsNotRefused(t *testing.T) {
-	l := &quota.Ledger{Clock: clockwork.NewFakeClock(), Instances: func() (int, int) { return 1, 1 }, Delay: func() time.Duration { return 0 }}
+	l := &quota.Ledger{Clock: clockwork.NewFakeClock(), Instances: func() (int, int) { return 1, 1 }, ReportDelay: func() time.Duration { return 0 }}
 	l.Start()
 	for range 1000 {
 		if v := l.Charge(&shelfshelf.Customer{Name: "free"}, 1e6); !v.OK {
@@ -259,7 +259,7 @@
 	for used, want := range map[float64]bool{0: true, rate * 8: false} {
 		for i := range f.ledgers {
 			f.restart(i)
-			f.ledgers[i].Recall(shelfshelf.SavedUses{Uses: []shelfshelf.SavedUse{{Customer: key, Parts: [shelfshelf.UseParts]float64{used}}}})
+			f.ledgers[i].Restore(shelfshelf.SavedUsages{Usage: []shelfshelf.SavedUsage{{Customer: key, Buckets: [shelfshelf.UsageBuckets]float64{used}}}})
 		}
 		if v := f.ledgers[0].Charge(customer, 100000); v.OK != want {
 			t.Errorf("%.0f used: %+v", used, v)
@@ -277,7 +277,7 @@
 	l.Slack = 0
 	waiting := l.Charge(customer, 4000)
 	f.clock.Advance(500 * time.Millisecond)
-	l.Refund(waiting.Entry)
+	l.Refund(waiting.Charge)
 	used := 0.0
 	for l.Charge(customer, 500).OK {
 		used += 500
@@ -299,7 +299,7 @@
 	customer := limitedCustomer(1000)
 	charged := l.Charge(customer, 4000)
 	f.clock.Advance(2 * time.Second)
-	l.Move(charged.Entry)
+	l.Recharge(charged.Charge)
 	f.clock.Advance(window - time.Second)
 	if v := l.Charge(customer, 1); v.Used != 4000 {
 		t.Errorf("%+v", v)
@@ -319,7 +319,7 @@
 	const rate = 100000
 	customer := limitedCustomer(rate)
 	key := shelfshelf.KeyOfCustomer(customer.Name)
-	f.ledgers[0].Recall(shelfshelf.SavedUses{Uses: []shelfshelf.SavedUse{{Customer: key, Parts: [shelfshelf.UseParts]float64{9 * rate}}}})
+	f.ledgers[0].Restore(shelfshelf.SavedUsages{Usage: []shelfshelf.SavedUsage{{Customer: key, Buckets: [shelfshelf.UsageBuckets]float64{9 * rate}}}})
 	f.clock.Advance(5 * time.Second)
 	if v := f.ledgers[0].Charge(customer, rate/4); v.OK {
 		t.Errorf("%+v", v)
@@ -352,10 +352,10 @@
 			f.idle(3 * time.Second)
 			observer := f.ledgers[0]
 			if restart {
-				saved := observer.All()
+				saved := observer.UsageByDataCentre()
 				for i := range f.ledgers {
 					f.restart(i)
-					f.ledgers[i].Recall(shelfshelf.SavedUses{Uses: saved})
+					f.ledgers[i].Restore(shelfshelf.SavedUsages{Usage: saved})
 				}
 				observer = f.ledgers[0]
 			}
@@ -393,12 +393,12 @@
 		l := &quota.Ledger{
 			Clock: clockwork.NewRealClock(), Window: window, Slack: slack,
 			Instances: func() (int, int) { return 1, 1 },
-			Delay:     func() time.Duration { return delay },
+			ReportDelay:     func() time.Duration { return delay },
 		}
 		l.Start()
 		time.Sleep(window)
 		store := &usageStore{}
-		k := &quota.Keeper{Clock: l.Clock, Log: log.New(io.Discard), Ledger: l, Store: store, Due: func() bool { return true }}
+		k := &quota.UsageSaver{Clock: l.Clock, Log: log.New(io.Discard), Ledger: l, Store: store, IsSaver: func() bool { return true }}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go func() { _ = k.Run(ctx) }()
@@ -420,17 +420,17 @@
 // usageStore counts saves and keeps the latest one.
 type usageStore struct {
 	saves int
-	last  []shelfshelf.SavedUse
+	last  []shelfshelf.SavedUsage
 }
 
-func (s *usageStore) SaveUses(_ context.Context, usage []shelfshelf.SavedUse) error {
+func (s *usageStore) SaveUsage(_ context.Context, usage []shelfshelf.SavedUsage) error {
 	s.saves++
 	s.last = usage
 	return nil
 }
 
-func (s *usageStore) LoadUses(context.Context) (shelfshelf.SavedUses, error) {
-	return shelfshelf.SavedUses{}, shelfshelf.ErrNotFound
+func (s *usageStore) LoadUsage(context.Context) (shelfshelf.SavedUsages, error) {
+	return shelfshelf.SavedUsages{}, shelfshelf.ErrNotFound
 }
 
 // multiCentreFleet is instances in several data centres. They exchange statuses within a data centre
@@ -449,7 +449,7 @@
 	l := &quota.Ledger{
 		Clock: f.clock, DataCentre: centreOf(id), Window: window,
 		Instances: func() (int, int) { return 4, 4 },
-		Delay:     func() time.Duration { return delay },
+		ReportDelay:     func() time.Duration { return delay },
 	}
 	l.Start()
 	f.ledgers[id] = l
@@ -465,13 +465,13 @@
 			switch {
 			case other == id:
 			case centreOf(other) == centreOf(id):
-				to.Heard(shelfshelf.Status{
-					From: shelfshelf.Instance{ID: id}, Incarnation: f.incarnations[id], Settled: from.Settled(),
-					Uses: from.Own(), EndedUses: from.Ended(),
+				to.ApplyStatus(shelfshelf.Status{
+					From: shelfshelf.Instance{ID: id}, Incarnation: f.incarnations[id], WindowObserved: from.WindowObserved(),
+					Usage: from.LocalUsage(), EndedUsage: from.EndedUsage(),
 				})
 			default:
-				to.HeardCentre(shelfshelf.Digest{
-					DataCentre: centreOf(id), Instances: 1, Settled: from.Settled(), Uses: from.Centre(),
+				to.ApplyDigest(shelfshelf.Digest{
+					DataCentre: centreOf(id), Instances: 1, WindowObserved: from.WindowObserved(), Usage: from.DataCentreUsage(),
 				})
 			}
 		}
@@ -498,10 +498,10 @@
 		}
 	}
 	f.exchangeStatuses()
-	saved := shelfshelf.SavedUses{Uses: f.ledgers["a1"].All()}
+	saved := shelfshelf.SavedUsages{Usage: f.ledgers["a1"].UsageByDataCentre()}
 	f.clock.Advance(2 * time.Second)
 	for _, id := range all[1:] {
-		f.start(id).Recall(shelfshelf.SavedUses{Uses: saved.Uses, Age: 2 * time.Second})
+		f.start(id).Restore(shelfshelf.SavedUsages{Usage: saved.Usage, Age: 2 * time.Second})
 	}
 	for range 30 {
 		f.exchangeStatuses()
@@ -521,7 +521,7 @@
 	clock := clockwork.NewFakeClock()
 	l := &quota.Ledger{
 		Clock: clock, DataCentre: "dc", Window: 8 * time.Second,
-		Instances: func() (int, int) { return 2, 2 }, Delay: func() time.Duration { return 100 * time.Millisecond },
+		Instances: func() (int, int) { return 2, 2 }, ReportDelay: func() time.Duration { return 100 * time.Millisecond },
 	}
 	l.Start()
 	clock.Advance(9 * time.Second)
@@ -531,22 +531,22 @@
 			t.Fatal("refused")
 		}
 	}
-	l.Own()
+	l.LocalUsage()
 	key := shelfshelf.KeyOfCustomer("c")
 	used := func() float64 { return l.Charge(customer, 0).Used }
-	l.HeardCentre(shelfshelf.Digest{DataCentre: "dc", Settled: true, Uses: []shelfshelf.CustomerUse{{Customer: key, Amount: 110}}})
+	l.ApplyDigest(shelfshelf.Digest{DataCentre: "dc", WindowObserved: true, Usage: []shelfshelf.CustomerUsage{{Customer: key, Amount: 110}}})
 	if got := used(); got < 109 || got > 111 {
 		t.Errorf("%.1f used, 10 here and 100 by the others", got)
 	}
-	l.Heard(shelfshelf.Status{
-		From: shelfshelf.Instance{ID: "o", DataCentre: "dc"}, Incarnation: 1, Settled: true,
-		Uses: []shelfshelf.CustomerUse{{Customer: key, Amount: 150}},
+	l.ApplyStatus(shelfshelf.Status{
+		From: shelfshelf.Instance{ID: "o", DataCentre: "dc"}, Incarnation: 1, WindowObserved: true,
+		Usage: []shelfshelf.CustomerUsage{{Customer: key, Amount: 150}},
 	})
 	if got := used(); got < 160 || got > 162 {
 		t.Errorf("%.1f used, 11 here and 150 by another", got)
 	}
 	clock.Advance(2 * time.Second)
-	l.Own()
+	l.LocalUsage()
 	if got := used(); got > 162 {
 		t.Errorf("%.1f used according to a digest that is 2 s old", got)
 	}
--- a/quota/received.go
+++ b/quota/received.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// Heard records the usage in the status of another instance of this data centre.
-func (l *Ledger) Heard(status shelfshelf.Status) {
+// ApplyStatus records the usage in the status of another instance of this data centre.
+func (l *Ledger) ApplyStatus(status shelfshelf.Status) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.Clock.Now()
@@ -52,27 +52,27 @@
 		l.endedIncarnations = append(l.endedIncarnations, previous)
 		previous = nil
 	}
-	s := l.newReceivedUsage(previous, status.Incarnation, now, status.Settled, status.Uses)
-	s.endedUsage = l.newReceivedUsage(previous.receivedEndedUsage(), 0, now, false, status.EndedUses).usage
+	s := l.newReceivedUsage(previous, status.Incarnation, now, status.WindowObserved, status.Usage)
+	s.endedUsage = l.newReceivedUsage(previous.receivedEndedUsage(), 0, now, false, status.EndedUsage).usage
 	l.peers[status.From.ID] = s
 	l.endedIncarnations = slices.DeleteFunc(l.endedIncarnations, func(s *receivedUsage) bool { return now.Sub(s.updatedAt) >= l.Window })
 }
 
-// HeardCentre records the usage in the digest of a data centre. The sender may have started lately and
+// ApplyDigest records the usage in the digest of a data centre. The sender may have started lately and
 // not know all of it. Where its digest has less than what remains of the previous one, the previous one
 // still counts, since usage only shrinks by expiry.
-func (l *Ledger) HeardCentre(digest shelfshelf.Digest) {
+func (l *Ledger) ApplyDigest(digest shelfshelf.Digest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	at := l.Clock.Now().Add(-digest.Age)
 	if digest.DataCentre == l.DataCentre {
-		l.ownDigest = l.newReceivedUsage(l.ownDigest, 0, at, digest.Settled, digest.Uses)
+		l.ownDigest = l.newReceivedUsage(l.ownDigest, 0, at, digest.WindowObserved, digest.Usage)
 		return
 	}
 	previous := l.remotes[digest.DataCentre]
-	s := l.newReceivedUsage(previous, 0, at, digest.Settled, digest.Uses)
+	s := l.newReceivedUsage(previous, 0, at, digest.WindowObserved, digest.Usage)
 	s.instances = digest.Instances
-	if previous != nil && !digest.Settled {
+	if previous != nil && !digest.WindowObserved {
 		_, started := previous.advanceTo(at)
 		for key, use := range previous.usage {
 			if expected := use.shifted(started); expected.remaining(s.bucketTimes, at) > s.remaining(key, at) {
@@ -87,7 +87,7 @@
 // Reports carry totals without times: growth since the previous report counts as used since then. The
 // usage in a first report is assumed to be distributed over the window like the customer's usage at
 // this instance. The caller must hold l.mu.
-func (l *Ledger) newReceivedUsage(previous *receivedUsage, incarnation uint64, at time.Time, settled bool, usage []shelfshelf.CustomerUse) *receivedUsage {
+func (l *Ledger) newReceivedUsage(previous *receivedUsage, incarnation uint64, at time.Time, settled bool, usage []shelfshelf.CustomerUsage) *receivedUsage {
 	s := &receivedUsage{
 		incarnation: incarnation, settled: settled, usage: make(map[shelfshelf.CustomerKey]usageBuckets, len(usage)),
 		bucketTimes: bucketTimes{newestStart: at, updatedAt: at, length: bucketLength(l.Window)},
--- a/quota/saved.go
+++ b/quota/saved.go
@@ -6,14 +6,14 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-// Recall sets the usage saved before this instance started.
-func (l *Ledger) Recall(saved shelfshelf.SavedUses) {
+// Restore sets the usage saved before this instance started.
+func (l *Ledger) Restore(saved shelfshelf.SavedUsages) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.restoreDone = true
 	at := l.Clock.Now().Add(-saved.Age)
 	l.saved = make(map[shelfshelf.DataCentre]*receivedUsage)
-	for _, use := range saved.Uses {
+	for _, use := range saved.Usage {
 		s := l.saved[use.DataCentre]
 		if s == nil {
 			s = &receivedUsage{
@@ -22,42 +22,42 @@
 			}
 			l.saved[use.DataCentre] = s
 		}
-		s.usage[use.Customer] = newUsageBuckets(use.Parts)
+		s.usage[use.Customer] = newUsageBuckets(use.Buckets)
 	}
 }
 
-// NothingSaved records that no usage was saved before this instance started.
-func (l *Ledger) NothingSaved() {
+// RestoreNone records that no usage was saved before this instance started.
+func (l *Ledger) RestoreNone() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.restoreDone = true
 }
 
-// Recalled reports whether the usage before the start of this instance is known, as far as it was
+// Restored reports whether the usage before the start of this instance is known, as far as it was
 // saved, or no longer matters.
-func (l *Ledger) Recalled() bool {
+func (l *Ledger) Restored() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.restoreDone || l.Clock.Now().Sub(l.start) >= l.Window
 }
 
-// Known returns the usage at all instances, for another instance that starts and restores it. The error
+// UsageForRestore returns the usage at all instances, for another instance that starts and restores it. The error
 // is ErrUnavailable if it is not known here yet, and ErrNotFound if none was saved.
-func (l *Ledger) Known() (shelfshelf.SavedUses, error) {
-	if !l.Recalled() {
-		return shelfshelf.SavedUses{}, shelfshelf.ErrUnavailable
+func (l *Ledger) UsageForRestore() (shelfshelf.SavedUsages, error) {
+	if !l.Restored() {
+		return shelfshelf.SavedUsages{}, shelfshelf.ErrUnavailable
 	}
 	l.mu.Lock()
 	noneSaved := l.saved == nil && l.Clock.Now().Sub(l.start) < l.Window
 	l.mu.Unlock()
 	if noneSaved {
-		return shelfshelf.SavedUses{}, shelfshelf.ErrNotFound
+		return shelfshelf.SavedUsages{}, shelfshelf.ErrNotFound
 	}
-	return shelfshelf.SavedUses{Uses: l.All()}, nil
+	return shelfshelf.SavedUsages{Usage: l.UsageByDataCentre()}, nil
 }
 
-// All returns the usage at all instances, by data centre and customer.
-func (l *Ledger) All() []shelfshelf.SavedUse {
+// UsageByDataCentre returns the usage at all instances, by data centre and customer.
+func (l *Ledger) UsageByDataCentre() []shelfshelf.SavedUsage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.Clock.Now()
@@ -78,18 +78,18 @@
 }
 
 // appendSavedUsage appends the totals of a data centre, without amounts below 1.
-func appendSavedUsage(usage []shelfshelf.SavedUse, centre shelfshelf.DataCentre, totals map[shelfshelf.CustomerKey]usageByAge) []shelfshelf.SavedUse {
+func appendSavedUsage(usage []shelfshelf.SavedUsage, centre shelfshelf.DataCentre, totals map[shelfshelf.CustomerKey]usageByAge) []shelfshelf.SavedUsage {
 	for key, use := range totals {
 		if use.total() >= 1 {
-			usage = append(usage, shelfshelf.SavedUse{DataCentre: centre, Customer: key, Parts: use})
+			usage = append(usage, shelfshelf.SavedUsage{DataCentre: centre, Customer: key, Buckets: use})
 		}
 	}
 	return usage
 }
 
-// Ended returns the usage at instances of this data centre that have ended or are silent, as far as
+// EndedUsage returns the usage at instances of this data centre that have ended or are silent, as far as
 // this instance knows, for its next status.
-func (l *Ledger) Ended() []shelfshelf.CustomerUse {
+func (l *Ledger) EndedUsage() []shelfshelf.CustomerUsage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.Clock.Now()
--- a/quota/usage.go
+++ b/quota/usage.go
@@ -163,11 +163,11 @@
 }
 
 // customerUsage converts totals to the form that statuses and digests carry, without amounts below 1.
-func customerUsage(totals map[shelfshelf.CustomerKey]usageByAge) []shelfshelf.CustomerUse {
-	var usage []shelfshelf.CustomerUse
+func customerUsage(totals map[shelfshelf.CustomerKey]usageByAge) []shelfshelf.CustomerUsage {
+	var usage []shelfshelf.CustomerUsage
 	for key, use := range totals {
 		if sum := use.total(); sum >= 1 {
-			usage = append(usage, shelfshelf.CustomerUse{Customer: key, Amount: sum})
+			usage = append(usage, shelfshelf.CustomerUsage{Customer: key, Amount: sum})
 		}
 	}
 	return usage
--- a/quota/usage_by_age.go
+++ b/quota/usage_by_age.go
@@ -8,7 +8,7 @@
 
 // usageByAge is the usage in the window before some time, divided into buckets of equal length, the
 // newest first.
-type usageByAge [shelfshelf.UseParts]float64
+type usageByAge [shelfshelf.UsageBuckets]float64
 
 func (u usageByAge) total() float64 {
 	sum := 0.0
@@ -41,4 +41,4 @@
 }
 
 // bucketLength returns the length of a bucket: a window has UseParts of them.
-func bucketLength(window time.Duration) time.Duration { return window / shelfshelf.UseParts }
+func bucketLength(window time.Duration) time.Duration { return window / shelfshelf.UsageBuckets }
--- a/relay/configuration.go
+++ b/relay/configuration.go
@@ -130,8 +130,8 @@
 		return err
 	}
 	at := e.startedAt.Add(-m.age)
-	if !r.Catalog.Lacks(m.revision) {
-		r.Catalog.Confirm(m.revision, at)
+	if !r.Catalog.IsNewer(m.revision) {
+		r.Catalog.ConfirmConfiguration(m.revision, at)
 		return nil
 	}
 	known := r.knownParts(m)
@@ -141,7 +141,7 @@
 		}
 	}
 	r.receivedParts = nil
-	return r.Catalog.Offer(m.join(known), at, e.address)
+	return r.Catalog.OfferConfiguration(m.join(known), at, e.address)
 }
 
 // knownParts returns the parts listed in a manifest that are available locally. It discards received parts
--- a/relay/configuration_test.go
+++ b/relay/configuration_test.go
@@ -93,7 +93,7 @@
 		logger := log.NewWithOptions(d.log, log.Options{Formatter: log.JSONFormatter}).With("at", m.name)
 		store := platform.NewStore("http://store:80")
 		store.Dial = d.network.Dialer(m.name)
-		m.catalog = &catalog.Catalog{Clock: clock, Log: logger, Source: store, Follow: func() time.Duration { return follow }}
+		m.catalog = &catalog.Catalog{Clock: clock, Log: logger, Source: store, ReadAge: func() time.Duration { return follow }}
 		m.relay = &relay.Relay{Clock: clock, Log: logger, Catalog: m.catalog, Dial: d.network.Dialer(m.name)}
 		m.relay.Init()
 		d.serve(m.name, m.relay.Handler())
@@ -113,7 +113,7 @@
 		d.mu.Unlock()
 		for _, m := range instances {
 			if other := instances[d.random.IntN(len(instances))]; other != m {
-				m.relay.Heard(other.status(), time.Now())
+				m.relay.HandleStatus(other.status(), time.Now())
 			}
 		}
 		time.Sleep(gossipInterval)
--- a/relay/crashes_test.go
+++ b/relay/crashes_test.go
@@ -15,7 +15,7 @@
 	t.Parallel()
 	simulate(t, func(d *deployment) {
 		d.start(2, narrowLink, 0)
-		records := []shelfshelf.Crash{{ID: 1<<64 - 1, Age: time.Minute, Runs: []shelfshelf.CrashedRun{{Request: 3}, {Request: 1<<64 - 1, Outlived: true}}}}
+		records := []shelfshelf.Crash{{ID: 1<<64 - 1, Age: time.Minute, Requests: []shelfshelf.InFlightRequest{{Request: 3}, {Request: 1<<64 - 1, Cleared: true}}}}
 		var failure error
 		d.instances[0].relay.Crashes = func() ([]shelfshelf.Crash, error) { return records, failure }
 		got, err := d.instances[1].relay.FetchCrashes(d.ctx, d.instances[0].name+":80")
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -41,21 +41,21 @@
 	Clock   shelfshelf.Clock
 	Log     *log.Logger
 	Catalog *catalog.Catalog
-	// Uses returns the usage of customers, for an instance that is starting. The error is ErrUnavailable
+	// Usage returns the usage of customers, for an instance that is starting. The error is ErrUnavailable
 	// if the usage is not known here yet and ErrNotFound if no instance knows it. If nil, the usage is
 	// never known here.
-	Uses func() (shelfshelf.SavedUses, error)
+	Usage func() (shelfshelf.SavedUsages, error)
 	// Crashes returns all known target crashes. The error is ErrUnavailable if they are not known here
 	// yet. If nil, they are never known here.
 	Crashes func() ([]shelfshelf.Crash, error)
-	// Versions returns this instance's counts per pool and version. If nil, it keeps no counts.
-	Versions func() rollout.Report
+	// VersionReport returns this instance's counts per pool and version. If nil, it keeps no counts.
+	VersionReport func() rollout.Report
 	// Instances returns the known instances, and whether the list is complete. If nil, it is never known
 	// here.
 	Instances func() ([]shelfshelf.Instance, bool)
-	// Fetched, if set, is called after each fetch with the kind of the fetched resource, the progress of
+	// OnFetch, if set, is called after each fetch with the kind of the fetched resource, the progress of
 	// the transfer and whether the result was accepted.
-	Fetched func(kind string, progress transfer.Progress, ok bool)
+	OnFetch func(kind string, progress transfer.Progress, ok bool)
 	// Dial opens connections to other instances. If nil, the operating system's dialer is used.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
@@ -106,7 +106,7 @@
 		after = 0
 	}
 	delta := r.Catalog.TargetsSince(after)
-	if delta.At.IsZero() {
+	if delta.ValidAt.IsZero() {
 		http.Error(w, "no targets are known", http.StatusServiceUnavailable)
 		return
 	}
@@ -126,24 +126,24 @@
 	}
 }
 
-// Heard processes another instance's status and queues fetches of whatever is newer there. The status is
+// HandleStatus processes another instance's status and queues fetches of whatever is newer there. The status is
 // no older than at; a zero at means that its age is unknown.
-func (r *Relay) Heard(status shelfshelf.Status, at time.Time) {
-	if r.Catalog.HeardOf(status.Revision) {
+func (r *Relay) HandleStatus(status shelfshelf.Status, at time.Time) {
+	if r.Catalog.RecordRevision(status.Revision) {
 		r.Log.Info("Another instance announced a newer configuration.", "revision", status.Revision, "from", status.From.ID)
 	}
 	switch {
 	case status.Revision == 0:
-	case r.Catalog.Lacks(status.Revision):
-		enqueue(r.configurationFetches, pendingFetch{status.From.Address, func() bool { return r.Catalog.Lacks(status.Revision) }})
+	case r.Catalog.IsNewer(status.Revision):
+		enqueue(r.configurationFetches, pendingFetch{status.From.Address, func() bool { return r.Catalog.IsNewer(status.Revision) }})
 	case !at.IsZero():
-		r.Catalog.Confirm(status.Revision, at.Add(-status.RevisionAge))
+		r.Catalog.ConfirmConfiguration(status.Revision, at.Add(-status.RevisionAge))
 	}
-	knownVersion, _ := r.Catalog.TargetsKnown()
+	knownVersion, _ := r.Catalog.TargetsVersion()
 	switch {
 	case status.TargetsVersion > knownVersion:
 		enqueue(r.targetFetches, pendingFetch{status.From.Address, func() bool {
-			known, _ := r.Catalog.TargetsKnown()
+			known, _ := r.Catalog.TargetsVersion()
 			return status.TargetsVersion > known
 		}})
 	case status.TargetsVersion == knownVersion && status.TargetsVersion > 0 && !at.IsZero():
@@ -201,8 +201,8 @@
 // report logs the outcome of an exchange and passes it to Fetched.
 func (r *Relay) report(e *exchange, kind string, err error) {
 	e.progress.Took = r.Clock.Now().Sub(e.startedAt)
-	if r.Fetched != nil {
-		r.Fetched(kind, e.progress, err == nil)
+	if r.OnFetch != nil {
+		r.OnFetch(kind, e.progress, err == nil)
 	}
 	fields := []any{"kind", kind, "from", e.address, "bytes", e.progress.Bytes, "asks", e.requests, "first", e.progress.First, "took", e.progress.Took}
 	if err != nil {
@@ -213,7 +213,7 @@
 }
 
 func (r *Relay) fetchTargets(ctx context.Context, e *exchange) error {
-	knownVersion, _ := r.Catalog.TargetsKnown()
+	knownVersion, _ := r.Catalog.TargetsVersion()
 	content, err := e.send(ctx, http.MethodGet, kindTargets+"?"+paramAfter+"="+strconv.FormatUint(knownVersion, 10), nil)
 	if err != nil {
 		return err
--- a/relay/usage.go
+++ b/relay/usage.go
@@ -17,7 +17,7 @@
 	_          struct{} `cbor:",toarray"`
 	DataCentre string
 	Customer   uint32
-	Parts      [shelfshelf.UseParts]float64
+	Parts      [shelfshelf.UsageBuckets]float64
 }
 
 // wireSavedUses is the usage of all customers as it was Age nanoseconds ago.
@@ -29,9 +29,9 @@
 
 func (r *Relay) serveUsage(w http.ResponseWriter, _ *http.Request) {
 	err := shelfshelf.ErrUnavailable
-	var saved shelfshelf.SavedUses
-	if r.Uses != nil {
-		saved, err = r.Uses()
+	var saved shelfshelf.SavedUsages
+	if r.Usage != nil {
+		saved, err = r.Usage()
 	}
 	switch {
 	case errors.Is(err, shelfshelf.ErrNotFound):
@@ -45,33 +45,33 @@
 	r.writeResponse(w, content, err)
 }
 
-// FetchUses fetches the usage of customers from another instance. The error is ErrNotFound if that
+// FetchUsage fetches the usage of customers from another instance. The error is ErrNotFound if that
 // instance reports that no usage was saved.
-func (r *Relay) FetchUses(ctx context.Context, address string) (shelfshelf.SavedUses, error) {
+func (r *Relay) FetchUsage(ctx context.Context, address string) (shelfshelf.SavedUsages, error) {
 	startedAt := r.Clock.Now()
 	saved, err := fetchOnce(ctx, r, address, kindUsage, decodeUsage)
 	saved.Age += r.Clock.Now().Sub(startedAt)
 	return saved, err
 }
 
-func encodeUsage(saved shelfshelf.SavedUses) ([]byte, error) {
+func encodeUsage(saved shelfshelf.SavedUsages) ([]byte, error) {
 	wire := wireSavedUses{Age: int64(saved.Age)}
-	for _, use := range saved.Uses {
-		wire.Uses = append(wire.Uses, wireSavedUse{DataCentre: string(use.DataCentre), Customer: uint32(use.Customer), Parts: use.Parts})
+	for _, use := range saved.Usage {
+		wire.Uses = append(wire.Uses, wireSavedUse{DataCentre: string(use.DataCentre), Customer: uint32(use.Customer), Parts: use.Buckets})
 	}
 	content, err := cbor.Marshal(wire)
 	return content, eris.Wrap(err, "encode usage")
 }
 
-func decodeUsage(content []byte) (shelfshelf.SavedUses, error) {
+func decodeUsage(content []byte) (shelfshelf.SavedUsages, error) {
 	var wire wireSavedUses
 	if err := cbor.Unmarshal(content, &wire); err != nil {
-		return shelfshelf.SavedUses{}, eris.Wrap(err, "decode usage")
+		return shelfshelf.SavedUsages{}, eris.Wrap(err, "decode usage")
 	}
-	saved := shelfshelf.SavedUses{Age: time.Duration(wire.Age)}
+	saved := shelfshelf.SavedUsages{Age: time.Duration(wire.Age)}
 	for _, use := range wire.Uses {
-		saved.Uses = append(saved.Uses, shelfshelf.SavedUse{
-			DataCentre: shelfshelf.DataCentre(use.DataCentre), Customer: shelfshelf.CustomerKey(use.Customer), Parts: use.Parts,
+		saved.Usage = append(saved.Usage, shelfshelf.SavedUsage{
+			DataCentre: shelfshelf.DataCentre(use.DataCentre), Customer: shelfshelf.CustomerKey(use.Customer), Buckets: use.Parts,
 		})
 	}
 	return saved, nil
--- a/relay/usage_test.go
+++ b/relay/usage_test.go
@@ -16,17 +16,17 @@
 	t.Parallel()
 	simulate(t, func(d *deployment) {
 		d.start(2, narrowLink, 0)
-		answer := shelfshelf.SavedUses{}
+		answer := shelfshelf.SavedUsages{}
 		var failure error
-		d.instances[0].relay.Uses = func() (shelfshelf.SavedUses, error) { return answer, failure }
-		fetch := func() (shelfshelf.SavedUses, error) {
-			return d.instances[1].relay.FetchUses(d.ctx, d.instances[0].name+":80")
+		d.instances[0].relay.Usage = func() (shelfshelf.SavedUsages, error) { return answer, failure }
+		fetch := func() (shelfshelf.SavedUsages, error) {
+			return d.instances[1].relay.FetchUsage(d.ctx, d.instances[0].name+":80")
 		}
-		answer = shelfshelf.SavedUses{Age: time.Second, Uses: []shelfshelf.SavedUse{
-			{DataCentre: "a", Customer: 7, Parts: [shelfshelf.UseParts]float64{1, 2, 3, 4}},
+		answer = shelfshelf.SavedUsages{Age: time.Second, Usage: []shelfshelf.SavedUsage{
+			{DataCentre: "a", Customer: 7, Buckets: [shelfshelf.UsageBuckets]float64{1, 2, 3, 4}},
 		}}
 		got, err := fetch()
-		if err != nil || cmp.Diff(answer.Uses, got.Uses) != "" || got.Age < answer.Age || got.Age > answer.Age+time.Second {
+		if err != nil || cmp.Diff(answer.Usage, got.Usage) != "" || got.Age < answer.Age || got.Age > answer.Age+time.Second {
 			t.Errorf("%+v %v", got, err)
 		}
 		failure = shelfshelf.ErrNotFound
--- a/relay/versions.go
+++ b/relay/versions.go
@@ -8,11 +8,11 @@
 )
 
 func (r *Relay) serveVersions(w http.ResponseWriter, _ *http.Request) {
-	if r.Versions == nil {
+	if r.VersionReport == nil {
 		http.Error(w, "versions are not counted", http.StatusServiceUnavailable)
 		return
 	}
-	content, err := rollout.EncodeReport(r.Versions())
+	content, err := rollout.EncodeReport(r.VersionReport())
 	r.writeResponse(w, content, err)
 }
 
--- a/relay/wire.go
+++ b/relay/wire.go
@@ -115,7 +115,7 @@
 }
 
 func encodeTargets(delta catalog.Delta, now time.Time) ([]byte, error) {
-	wire := wireTargets{Age: int64(now.Sub(delta.At)), Version: delta.Version, After: delta.After}
+	wire := wireTargets{Age: int64(now.Sub(delta.ValidAt)), Version: delta.Version, After: delta.Since}
 	for _, name := range delta.Removed {
 		wire.Removed = append(wire.Removed, string(name))
 	}
@@ -127,10 +127,10 @@
 			Address:    target.Address,
 			Leaving:    target.Leaving,
 			Slots:      target.Slots,
-			KeptFor:    remainingNanos(delta.KeptUntil[target.Name], now),
-			BornMillis: unixMillis(target.Born),
+			KeptFor:    remainingNanos(delta.RetainedUntil[target.Name], now),
+			BornMillis: unixMillis(target.StartedAt),
 			Version:    string(target.Version),
-			ColdFor:    int64(target.ColdFor),
+			ColdFor:    int64(target.ColdRemaining),
 		})
 	}
 	content, err := cbor.Marshal(wire)
@@ -168,18 +168,18 @@
 	delta := catalog.Delta{
 		Snapshot: catalog.Snapshot{
 			Version:   wire.Version,
-			At:        requestedAt.Add(-time.Duration(wire.Age)),
-			KeptUntil: make(map[shelfshelf.TargetName]time.Time),
+			ValidAt:        requestedAt.Add(-time.Duration(wire.Age)),
+			RetainedUntil: make(map[shelfshelf.TargetName]time.Time),
 		},
-		Whole: wire.After == 0,
-		After: wire.After,
+		Full: wire.After == 0,
+		Since: wire.After,
 	}
 	for _, name := range wire.Removed {
 		delta.Removed = append(delta.Removed, shelfshelf.TargetName(name))
 	}
 	for _, target := range wire.Targets {
 		if target.KeptFor > 0 {
-			delta.KeptUntil[shelfshelf.TargetName(target.Name)] = requestedAt.Add(time.Duration(target.KeptFor))
+			delta.RetainedUntil[shelfshelf.TargetName(target.Name)] = requestedAt.Add(time.Duration(target.KeptFor))
 		}
 		delta.Targets = append(delta.Targets, shelfshelf.Target{
 			Name:       shelfshelf.TargetName(target.Name),
@@ -188,9 +188,9 @@
 			Address:    target.Address,
 			Leaving:    target.Leaving,
 			Slots:      target.Slots,
-			Born:       timeFromUnixMillis(target.BornMillis),
+			StartedAt:       timeFromUnixMillis(target.BornMillis),
 			Version:    shelfshelf.TargetVersion(target.Version),
-			ColdFor:    time.Duration(target.ColdFor),
+			ColdRemaining:    time.Duration(target.ColdFor),
 		})
 	}
 	return delta, nil
--- a/request.go
+++ b/request.go
@@ -9,8 +9,8 @@
 // of the prompt.
 type BlockHash uint64
 
-// PrefixMark is a prefix of a prompt that an engine may have cached.
-type PrefixMark struct {
+// PromptPrefix is a prefix of a prompt that an engine may have cached.
+type PromptPrefix struct {
 	// Tokens is the length of the prefix in tokens.
 	Tokens int
 	// Hash identifies the text of the prefix.
@@ -31,7 +31,7 @@
 	// OutputTokens is the expected length of the response in tokens.
 	OutputTokens int
 	// Prefix holds prefixes of the prompt, the shortest first.
-	Prefix []PrefixMark
+	Prefix []PromptPrefix
 	// Arrived is when the receiving instance had read the whole request.
 	Arrived time.Time
 	// FirstTokenBy is when the first token is due; zero if the route has no objective for it.
@@ -57,11 +57,11 @@
 	RefusedLimit
 	// RefusedStopping means that the deciding instance is shutting down.
 	RefusedStopping
-	// RefusedOrder means that requests of a higher tier are refused too often for this request to be
+	// RefusedForHigherTier means that requests of a higher tier are refused too often for this request to be
 	// given a target.
-	RefusedOrder
-	// RefusedRest means that the backoff of all targets lasts longer than the request can wait.
-	RefusedRest
+	RefusedForHigherTier
+	// RefusedBackoff means that the backoff of all targets lasts longer than the request can wait.
+	RefusedBackoff
 )
 
 // String returns the text used in logs and metrics and sent to callers.
@@ -77,9 +77,9 @@
 		return "limit"
 	case RefusedStopping:
 		return "stopping"
-	case RefusedOrder:
+	case RefusedForHigherTier:
 		return "shed before a higher tier"
-	case RefusedRest:
+	case RefusedBackoff:
 		return "all want rest"
 	}
 	return "unspecified"
--- a/retrybudget/budget.go
+++ b/retrybudget/budget.go
@@ -57,16 +57,16 @@
 	b.Limits = limits
 }
 
-// Request counts the first attempt of a request to a pool.
-func (b *Budget) Request(pool shelfshelf.PoolName) {
+// CountRequest counts the first attempt of a request to a pool.
+func (b *Budget) CountRequest(pool shelfshelf.PoolName) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	c := b.currentCounts(pool)
 	c.requests[c.newestInterval%countedIntervals]++
 }
 
-// Take counts a retry and returns true, or returns false if the budget is exhausted.
-func (b *Budget) Take(pool shelfshelf.PoolName) bool {
+// TakeRetry counts a retry and returns true, or returns false if the budget is exhausted.
+func (b *Budget) TakeRetry(pool shelfshelf.PoolName) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	c := b.currentCounts(pool)
--- a/retrybudget/budget_test.go
+++ b/retrybudget/budget_test.go
@@ -31,9 +31,9 @@
 			sent, retried := 0, 0
 			for range rapid.IntRange(0, 20).Draw(t, "requests") {
 				b := budgets[rapid.IntRange(0, instances-1).Draw(t, "at")]
-				b.Request("p")
+				b.CountRequest("p")
 				sent++
-				if b.Take("p") {
+				if b.TakeRetry("p") {
 					retried++
 				}
 			}
@@ -67,7 +67,7 @@
 		Limits:    retrybudget.Limits{Slack: 2, Window: 10 * time.Second},
 		Instances: func() int { return 1 },
 	}
-	if !b.Take("p") || b.Take("p") || !b.Take("q") {
+	if !b.TakeRetry("p") || b.TakeRetry("p") || !b.TakeRetry("q") {
 		t.Error("pools share a budget, or the slack is wrong")
 	}
 }
--- a/rollout.go
+++ b/rollout.go
@@ -41,8 +41,8 @@
 	return "unspecified"
 }
 
-// Over reports whether the rollout has ended; these states are final.
-func (s RolloutState) Over() bool { return s == RolloutCompleted || s == RolloutRolledBack }
+// Finished reports whether the rollout has ended; these states are final.
+func (s RolloutState) Finished() bool { return s == RolloutCompleted || s == RolloutRolledBack }
 
 // Rollout is the move of a pool's requests to targets of another version, as ordered by an operator,
 // together with its progress.
@@ -56,29 +56,29 @@
 	// Age is the time since the rollout was ordered.
 	Age   time.Duration
 	State RolloutState
-	// Moving is the time since traffic began to shift to the new version; zero before that.
-	Moving time.Duration
-	// Doubted is the age of the rollout until which the trial gets a larger share of the requests,
+	// MovingFor is the time since traffic began to shift to the new version; zero before that.
+	MovingFor time.Duration
+	// DoubtedUntil is the age of the rollout until which the trial gets a larger share of the requests,
 	// because the results so far speak against the new version but are not conclusive.
-	Doubted time.Duration
+	DoubtedUntil time.Duration
 	// Halted is set once an instance has judged the new version to be bad. From then on no instance
 	// sends requests to it, even before the result is stored.
 	Halted bool
-	// Barred are the versions of earlier rollouts that were rolled back or replaced before they had
+	// BarredVersions are the versions of earlier rollouts that were rolled back or replaced before they had
 	// ended; none of them is known to be good.
-	Barred []TargetVersion
-	// Stored is the version of the row in which the result is stored; 0 if there is none yet.
-	Stored uint64
+	BarredVersions []TargetVersion
+	// RowVersion is the version of the row in which the result is stored; 0 if there is none yet.
+	RowVersion uint64
 }
 
-// Adds reports whether r holds information about a pool's rollout that known lacks: it has a greater
+// AddsTo reports whether r holds information about a pool's rollout that known lacks: it has a greater
 // revision, or the same revision with a later state, a new halt, a newer stored row or a longer trial.
 // Of two rollouts, each can add to the other.
-func (r Rollout) Adds(known Rollout) bool {
+func (r Rollout) AddsTo(known Rollout) bool {
 	if r.Revision != known.Revision {
 		return r.Revision > known.Revision
 	}
-	return r.State > known.State || r.Halted && !known.Halted || r.Stored > known.Stored || r.Doubted > known.Doubted
+	return r.State > known.State || r.Halted && !known.Halted || r.RowVersion > known.RowVersion || r.DoubtedUntil > known.DoubtedUntil
 }
 
 // RolloutStore persists the progress of rollouts and publishes it to the operator.
@@ -93,40 +93,40 @@
 
 // VersionChoice restricts the targets of a pool that one request may be sent to, by version.
 type VersionChoice struct {
-	// Ordered is set if there is any restriction.
-	Ordered bool
+	// Active is set if there is any restriction.
+	Active bool
 	Version TargetVersion
-	// New is set if the request goes to targets of Version, and unset if it goes to all others.
-	New bool
+	// ToNewVersion is set if the request goes to targets of Version, and unset if it goes to all others.
+	ToNewVersion bool
 	// Trial is set if the request tries the new version first. It goes to the other targets at once if
 	// no target of the new version has a free slot.
 	Trial bool
 	// Canaries are the only targets of Version that a trial request may be sent to; empty means all.
 	Canaries map[TargetName]bool
-	// Barred are versions that get no requests at all, unless they equal Version.
-	Barred []TargetVersion
-	// Others is set if all targets but those in Retired may be used, apart from Barred.
-	Others  bool
+	// BarredVersions are versions that get no requests at all, unless they equal Version.
+	BarredVersions []TargetVersion
+	// OnlyRetired is set if all targets but those in Retired may be used, apart from Barred.
+	OnlyRetired  bool
 	Retired map[TargetName]bool
 }
 
-// Old returns the choice for a request that must not try the new version.
-func (c VersionChoice) Old() VersionChoice {
-	return VersionChoice{Ordered: c.Ordered, Version: c.Version, Barred: c.Barred, Others: c.Others, Retired: c.Retired}
+// WithoutTrial returns the choice for a request that must not try the new version.
+func (c VersionChoice) WithoutTrial() VersionChoice {
+	return VersionChoice{Active: c.Active, Version: c.Version, BarredVersions: c.BarredVersions, OnlyRetired: c.OnlyRetired, Retired: c.Retired}
 }
 
 // Allows reports whether the request may be sent to a target.
 func (c VersionChoice) Allows(target Target) bool {
-	if !c.Ordered {
+	if !c.Active {
 		return true
 	}
-	if target.Version != c.Version && slices.Contains(c.Barred, target.Version) {
+	if target.Version != c.Version && slices.Contains(c.BarredVersions, target.Version) {
 		return false
 	}
-	if c.Others {
+	if c.OnlyRetired {
 		return !c.Retired[target.Name]
 	}
-	if !c.New {
+	if !c.ToNewVersion {
 		return target.Version != c.Version
 	}
 	return target.Version == c.Version && (len(c.Canaries) == 0 || c.Canaries[target.Name])
@@ -137,10 +137,10 @@
 	Route RouteName
 	// Failed is set if the target ran the request but did not respond correctly.
 	Failed bool
-	// First is the time to the first event, or to a plain response, relative to that expected of a
+	// FirstAnswerRatio is the time to the first event, or to a plain response, relative to that expected of a
 	// typical target. Pace is the same ratio for the time per token. Zero means not known.
-	First float64
-	Pace  float64
+	FirstAnswerRatio float64
+	TokenTimeRatio  float64
 }
 
 // Rollouts chooses which versions of a pool get requests, and collects the results of the requests. It
@@ -149,10 +149,10 @@
 	// Choose returns where the next request of a pool may be sent; targets must be all targets of the
 	// pool.
 	Choose(pool PoolName, targets []Target) VersionChoice
-	// Began records that a request was assigned to a target. Unsent records that it was not sent to the
+	// RequestStarted records that a request was assigned to a target. Unsent records that it was not sent to the
 	// target after all.
-	Began(target Target)
-	Unsent(target Target)
-	// Ended records the result of a request that reached a target.
-	Ended(target Target, report AttemptReport)
+	RequestStarted(target Target)
+	RequestUnsent(target Target)
+	// RequestEnded records the result of a request that reached a target.
+	RequestEnded(target Target, report AttemptReport)
 }
--- a/rollout/choose.go
+++ b/rollout/choose.go
@@ -19,8 +19,8 @@
 	at       time.Time
 }
 
-// Targets sets the list of targets as of a position of the store.
-func (r *Record) Targets(targets []shelfshelf.Target, position uint64) {
+// SetTargets sets the list of targets as of a position of the store.
+func (r *Tracker) SetTargets(targets []shelfshelf.Target, position uint64) {
 	counts := make(map[shelfshelf.PoolName]map[shelfshelf.TargetVersion]int)
 	for _, target := range targets {
 		if counts[target.Pool] == nil {
@@ -63,26 +63,26 @@
 }
 
 // Choose returns which targets the next request of a pool may go to.
-func (r *Record) Choose(pool shelfshelf.PoolName, targets []shelfshelf.Target) shelfshelf.VersionChoice {
+func (r *Tracker) Choose(pool shelfshelf.PoolName, targets []shelfshelf.Target) shelfshelf.VersionChoice {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	unconfirmed := r.unconfirmed(pool)
 	tracked := r.rollouts[pool]
 	if tracked == nil {
-		return shelfshelf.VersionChoice{Ordered: len(unconfirmed) > 0, Others: true, Barred: unconfirmed}
+		return shelfshelf.VersionChoice{Active: len(unconfirmed) > 0, OnlyRetired: true, BarredVersions: unconfirmed}
 	}
 	now := r.Clock.Now()
 	rollout := tracked.current(now)
-	choice := shelfshelf.VersionChoice{Ordered: true, Version: rollout.Version, Barred: append(unconfirmed, rollout.Barred...)}
+	choice := shelfshelf.VersionChoice{Active: true, Version: rollout.Version, BarredVersions: append(unconfirmed, rollout.BarredVersions...)}
 	switch {
 	case rollout.State == shelfshelf.RolloutCompleted, r.alreadyServing(rollout):
-		choice.Ordered = len(tracked.retired)+len(choice.Barred) > 0
-		choice.Retired, choice.Others = tracked.retired, true
+		choice.Active = len(tracked.retired)+len(choice.BarredVersions) > 0
+		choice.Retired, choice.OnlyRetired = tracked.retired, true
 	case rollout.Halted || rollout.State == shelfshelf.RolloutRolledBack:
 	case rollout.State == shelfshelf.RolloutMoving:
 		share := moveShare(rollout, r.Bounds.estimatedMoveTime(rollout))
-		choice.New = r.random() < share
-		choice.Trial = choice.New && share < 1
+		choice.ToNewVersion = r.random() < share
+		choice.Trial = choice.ToNewVersion && share < 1
 	default:
 		r.chooseTrial(tracked, rollout, targets, &choice)
 	}
@@ -90,7 +90,7 @@
 }
 
 // chooseTrial decides whether a request tries the new version. The caller must hold r.mu.
-func (r *Record) chooseTrial(tracked *trackedRollout, rollout shelfshelf.Rollout, targets []shelfshelf.Target, choice *shelfshelf.VersionChoice) {
+func (r *Tracker) chooseTrial(tracked *trackedRollout, rollout shelfshelf.Rollout, targets []shelfshelf.Target, choice *shelfshelf.VersionChoice) {
 	share := r.Bounds.shareSince(rollout, tracked.since)
 	if !tracked.allowsTrial(share, r.extraTrials(rollout)+tracked.extra) {
 		return
@@ -107,37 +107,37 @@
 		}
 	}
 	canaries, probability := r.Bounds.trialTargets(rollout, old, newTargets)
-	choice.New = len(newTargets) > 0 && r.random() < probability
-	choice.Trial = choice.New
+	choice.ToNewVersion = len(newTargets) > 0 && r.random() < probability
+	choice.Trial = choice.ToNewVersion
 	choice.Canaries = canaries
 }
 
 // extraTrials returns how many trials this instance may make beyond its share: an equal part of the
 // slack for trials, and also of the slack for the move while the version is in doubt.
-func (r *Record) extraTrials(rollout shelfshelf.Rollout) float64 {
+func (r *Tracker) extraTrials(rollout shelfshelf.Rollout) float64 {
 	if r.Instances == nil {
 		return 0
 	}
 	fraction := trialSlackFraction
-	if rollout.Age < rollout.Doubted {
+	if rollout.Age < rollout.DoubtedUntil {
 		fraction = slackFraction
 	}
 	return fraction * r.Bounds.Slack / float64(max(r.Instances(), 1))
 }
 
-// Serves reports whether the rollout's version was already serving before the rollout was ordered: no
+// AlreadyServing reports whether the rollout's version was already serving before the rollout was ordered: no
 // other usable version is listed.
-func (r *Record) Serves(rollout shelfshelf.Rollout) bool {
+func (r *Tracker) AlreadyServing(rollout shelfshelf.Rollout) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.alreadyServing(rollout)
 }
 
 // alreadyServing is Serves for a caller that already holds r.mu.
-func (r *Record) alreadyServing(rollout shelfshelf.Rollout) bool {
+func (r *Tracker) alreadyServing(rollout shelfshelf.Rollout) bool {
 	listed := r.targetCounts[rollout.Pool]
 	for version := range listed {
-		if version != rollout.Version && !slices.Contains(rollout.Barred, version) {
+		if version != rollout.Version && !slices.Contains(rollout.BarredVersions, version) {
 			return false
 		}
 	}
@@ -146,15 +146,15 @@
 		rollout.State < shelfshelf.RolloutMoving && !rollout.Halted
 }
 
-// Listed returns the number of the pool's targets with the rollout's version.
-func (r *Record) Listed(rollout shelfshelf.Rollout) int {
+// TargetCount returns the number of the pool's targets with the rollout's version.
+func (r *Tracker) TargetCount(rollout shelfshelf.Rollout) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.targetCounts[rollout.Pool][rollout.Version]
 }
 
 // listedOthers returns the number of the pool's targets with other versions.
-func (r *Record) listedOthers(rollout shelfshelf.Rollout) int {
+func (r *Tracker) listedOthers(rollout shelfshelf.Rollout) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	others := 0
@@ -168,7 +168,7 @@
 
 // unconfirmed returns the versions of a pool for which it isn't known yet whether a rollout was
 // ordered. The caller must hold r.mu.
-func (r *Record) unconfirmed(pool shelfshelf.PoolName) []shelfshelf.TargetVersion {
+func (r *Tracker) unconfirmed(pool shelfshelf.PoolName) []shelfshelf.TargetVersion {
 	var unconfirmed []shelfshelf.TargetVersion
 	now := r.Clock.Now()
 	for version, seen := range r.firstSeen[pool] {
--- a/rollout/codec.go
+++ b/rollout/codec.go
@@ -40,22 +40,22 @@
 
 // Report is what one incarnation of an instance has counted.
 type Report struct {
-	Life   Life
-	Orders []Evidence
+	Life   InstanceRun
+	Evidence []Evidence
 }
 
 // EncodeReport encodes a report for another instance.
 func EncodeReport(report Report) ([]byte, error) {
 	wire := wireReport{Instance: string(report.Life.Instance), Incarnation: report.Life.Incarnation}
-	for _, evidence := range report.Orders {
+	for _, evidence := range report.Evidence {
 		entry := wireEvidence{
 			Pool: string(evidence.Pool), Revision: evidence.Revision, All: evidence.Sent.All, New: evidence.Sent.New,
-			OldRunning: evidence.OldRunning, NewRunning: evidence.NewRunning, Moved: evidence.Moved,
+			OldRunning: evidence.OldRunning, NewRunning: evidence.NewRunning, Moved: evidence.OldTrafficStopped,
 		}
 		for name, cell := range evidence.Cells {
 			entry.Cells = append(entry.Cells, wireCell{
 				Route: string(name.Route), Target: string(name.Target), Answers: cell.Answers, Failed: cell.Failed,
-				First: trimTrailingZeros(cell.First[:]), Pace: trimTrailingZeros(cell.Pace[:]),
+				First: trimTrailingZeros(cell.FirstAnswerTimes[:]), Pace: trimTrailingZeros(cell.TokenTimes[:]),
 			})
 		}
 		wire.Orders = append(wire.Orders, entry)
@@ -80,20 +80,20 @@
 	if wire.Instance == "" {
 		return Report{}, eris.New("decode rollout report: instance is missing")
 	}
-	report := Report{Life: Life{Instance: shelfshelf.InstanceID(wire.Instance), Incarnation: wire.Incarnation}}
+	report := Report{Life: InstanceRun{Instance: shelfshelf.InstanceID(wire.Instance), Incarnation: wire.Incarnation}}
 	for _, entry := range wire.Orders {
 		evidence := Evidence{
-			Pool: shelfshelf.PoolName(entry.Pool), Revision: entry.Revision, Sent: Sent{All: entry.All, New: entry.New},
-			OldRunning: entry.OldRunning, NewRunning: entry.NewRunning, Moved: entry.Moved, Cells: make(map[CellName]*Cell, len(entry.Cells)),
+			Pool: shelfshelf.PoolName(entry.Pool), Revision: entry.Revision, Sent: SentCounts{All: entry.All, New: entry.New},
+			OldRunning: entry.OldRunning, NewRunning: entry.NewRunning, OldTrafficStopped: entry.Moved, Cells: make(map[CellKey]*ResultCounts, len(entry.Cells)),
 		}
 		for _, counted := range entry.Cells {
-			cell := &Cell{Answers: counted.Answers, Failed: counted.Failed}
-			copy(cell.First[:], counted.First)
-			copy(cell.Pace[:], counted.Pace)
-			name := CellName{Route: shelfshelf.RouteName(counted.Route), Target: shelfshelf.TargetName(counted.Target)}
+			cell := &ResultCounts{Answers: counted.Answers, Failed: counted.Failed}
+			copy(cell.FirstAnswerTimes[:], counted.First)
+			copy(cell.TokenTimes[:], counted.Pace)
+			name := CellKey{Route: shelfshelf.RouteName(counted.Route), Target: shelfshelf.TargetName(counted.Target)}
 			evidence.Cells[name] = cell
 		}
-		report.Orders = append(report.Orders, evidence)
+		report.Evidence = append(report.Evidence, evidence)
 	}
 	return report, nil
 }
--- a/rollout/criteria.go
+++ b/rollout/criteria.go
@@ -49,9 +49,9 @@
 	// maxBad limits the total number of bad answers, see maxFailedAnswers.
 	maxBad uint64
 	// histogram returns the times that the criterion is based on; nil if it isn't based on times.
-	histogram func(cell *Cell) *Histogram
+	histogram func(cell *ResultCounts) *Histogram
 	// count returns the number of bad answers and of all; known is false if it can't be determined yet.
-	count func(cell, baseline *Cell) (bad, all uint64, known bool)
+	count func(cell, baseline *ResultCounts) (bad, all uint64, known bool)
 }
 
 var (
@@ -68,17 +68,17 @@
 		maxBad:  maxFailedAnswers,
 		lenient: oddsRatios{nullOdds: failNullOdds, alternatives: failAlternatives, moveNullOdds: 5, minMoveAlternative: 30},
 		strict:  oddsRatios{nullOdds: strictFailNullOdds, alternatives: failAlternatives, moveNullOdds: 2, minMoveAlternative: 10},
-		count:   func(cell, _ *Cell) (uint64, uint64, bool) { return cell.Failed, cell.Answers, true },
+		count:   func(cell, _ *ResultCounts) (uint64, uint64, bool) { return cell.Failed, cell.Answers, true },
 	},
-	slowCriterion("first answers", func(cell *Cell) *Histogram { return &cell.First }),
-	slowCriterion("pace", func(cell *Cell) *Histogram { return &cell.Pace }),
+	slowCriterion("first answers", func(cell *ResultCounts) *Histogram { return &cell.FirstAnswerTimes }),
+	slowCriterion("pace", func(cell *ResultCounts) *Histogram { return &cell.TokenTimes }),
 }
 
 // slowCriterion counts answers that are slow by the times of a histogram.
-func slowCriterion(name string, times func(cell *Cell) *Histogram) criterion {
+func slowCriterion(name string, times func(cell *ResultCounts) *Histogram) criterion {
 	return criterion{
 		name: name, lenient: lenientSlowOdds, strict: strictSlowOdds, maxBad: maxSlowAnswers, histogram: times,
-		count: func(cell, baseline *Cell) (uint64, uint64, bool) { return countSlow(times(cell), times(baseline)) },
+		count: func(cell, baseline *ResultCounts) (uint64, uint64, bool) { return countSlow(times(cell), times(baseline)) },
 	}
 }
 
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -54,46 +54,46 @@
 	}
 }
 
-// CellName identifies a cell by route, and for the new version also by target.
-type CellName struct {
+// CellKey identifies a cell by route, and for the new version also by target.
+type CellKey struct {
 	Route shelfshelf.RouteName
 	// Target is empty for the targets of old versions, which are counted together.
 	Target shelfshelf.TargetName
 }
 
-// Cell counts the results of requests; the counts never decrease.
-type Cell struct {
+// ResultCounts counts the results of requests; the counts never decrease.
+type ResultCounts struct {
 	// Answers counts all results, failures included.
 	Answers uint64
 	Failed  uint64
-	// First and Pace count the times to the first event or plain response, and per token, of the
+	// FirstAnswerTimes and Pace count the times to the first event or plain response, and per token, of the
 	// requests that didn't fail.
-	First Histogram
-	Pace  Histogram
+	FirstAnswerTimes Histogram
+	TokenTimes  Histogram
 }
 
-func (c *Cell) observe(report shelfshelf.AttemptReport) {
+func (c *ResultCounts) observe(report shelfshelf.AttemptReport) {
 	c.Answers++
 	if report.Failed {
 		c.Failed++
 		return
 	}
-	c.First.observe(report.First)
-	c.Pace.observe(report.Pace)
+	c.FirstAnswerTimes.observe(report.FirstAnswerRatio)
+	c.TokenTimes.observe(report.TokenTimeRatio)
 }
 
-func (c *Cell) add(other *Cell) {
+func (c *ResultCounts) add(other *ResultCounts) {
 	c.Answers += other.Answers
 	c.Failed += other.Failed
-	c.First.add(&other.First)
-	c.Pace.add(&other.Pace)
+	c.FirstAnswerTimes.add(&other.FirstAnswerTimes)
+	c.TokenTimes.add(&other.TokenTimes)
 }
 
-func (c *Cell) subtract(before *Cell) {
+func (c *ResultCounts) subtract(before *ResultCounts) {
 	c.Answers -= min(before.Answers, c.Answers)
 	c.Failed -= min(before.Failed, c.Failed)
-	c.First.subtract(&before.First)
-	c.Pace.subtract(&before.Pace)
+	c.FirstAnswerTimes.subtract(&before.FirstAnswerTimes)
+	c.TokenTimes.subtract(&before.TokenTimes)
 }
 
 // Evidence is what one instance has counted since it learnt of a rollout. Counts only grow, so repeated
@@ -101,25 +101,25 @@
 type Evidence struct {
 	Pool     shelfshelf.PoolName
 	Revision uint64
-	Sent     Sent
+	Sent     SentCounts
 	// OldRunning is the number of requests that the instance has running at targets of other versions.
 	OldRunning int
 	// NewRunning is the number of requests that it has running at targets of the new version.
 	NewRunning int
-	// Moved reports that the instance no longer sends requests to old targets.
-	Moved bool
-	Cells map[CellName]*Cell
+	// OldTrafficStopped reports that the instance no longer sends requests to old targets.
+	OldTrafficStopped bool
+	Cells map[CellKey]*ResultCounts
 }
 
 // observe counts the result of one request.
-func (e *Evidence) observe(name CellName, report shelfshelf.AttemptReport) {
+func (e *Evidence) observe(name CellKey, report shelfshelf.AttemptReport) {
 	cell := e.Cells[name]
 	if cell == nil {
-		if len(e.Cells) >= maxRoutes && e.Cells[CellName{Route: name.Route}] == nil {
+		if len(e.Cells) >= maxRoutes && e.Cells[CellKey{Route: name.Route}] == nil {
 			name.Route = otherRoutes
 		}
 		if cell = e.Cells[name]; cell == nil {
-			cell = &Cell{}
+			cell = &ResultCounts{}
 			e.Cells[name] = cell
 		}
 	}
@@ -135,29 +135,29 @@
 	return sum
 }
 
-// Merger sums up the counts of all incarnations of all instances. The zero value is ready to use.
-type Merger struct {
-	latest map[Life]*Evidence
+// ReportMerger sums up the counts of all incarnations of all instances. The zero value is ready to use.
+type ReportMerger struct {
+	latest map[InstanceRun]*Evidence
 }
 
-// Life identifies one incarnation of an instance: one run of its process, from start to end.
-type Life struct {
+// InstanceRun identifies one incarnation of an instance: one run of its process, from start to end.
+type InstanceRun struct {
 	Instance    shelfshelf.InstanceID
 	Incarnation uint64
 }
 
-// Take merges the counts of one incarnation and returns the increments since its previous report. The
+// Add merges the counts of one incarnation and returns the increments since its previous report. The
 // counts of incarnations that have ended are kept.
-func (m *Merger) Take(life Life, received Evidence) map[CellName]*Cell {
+func (m *ReportMerger) Add(life InstanceRun, received Evidence) map[CellKey]*ResultCounts {
 	if m.latest == nil {
-		m.latest = make(map[Life]*Evidence)
+		m.latest = make(map[InstanceRun]*Evidence)
 	}
 	before := m.latest[life]
 	if before != nil && received.answers() < before.answers() {
 		// An older report that arrived late.
 		return nil
 	}
-	increments := make(map[CellName]*Cell, len(received.Cells))
+	increments := make(map[CellKey]*ResultCounts, len(received.Cells))
 	for name, cell := range received.Cells {
 		increment := *cell
 		if before != nil && before.Cells[name] != nil {
@@ -171,9 +171,9 @@
 	return increments
 }
 
-// Sum returns the requests sent by all incarnations of all instances.
-func (m *Merger) Sum() Sent {
-	var sent Sent
+// TotalSent returns the requests sent by all incarnations of all instances.
+func (m *ReportMerger) TotalSent() SentCounts {
+	var sent SentCounts
 	for _, received := range m.latest {
 		sent.All += received.Sent.All
 		sent.New += received.Sent.New
--- a/rollout/interval.go
+++ b/rollout/interval.go
@@ -20,15 +20,15 @@
 type interval struct {
 	number     int
 	moving     bool
-	old        Cell
-	newTargets map[shelfshelf.TargetName]*Cell
+	old        ResultCounts
+	newTargets map[shelfshelf.TargetName]*ResultCounts
 	// ratios are the logarithmic likelihood ratios of each new target by criterion and alternative; nil
 	// for a criterion that can't be evaluated.
 	ratios map[shelfshelf.TargetName][][]float64
 }
 
 func newInterval(number int, moving bool) *interval {
-	return &interval{number: number, moving: moving, newTargets: make(map[shelfshelf.TargetName]*Cell)}
+	return &interval{number: number, moving: moving, newTargets: make(map[shelfshelf.TargetName]*ResultCounts)}
 }
 
 // merge adds the answers of a later interval.
@@ -39,13 +39,13 @@
 	}
 }
 
-func (s *interval) addCell(target shelfshelf.TargetName, cell *Cell) {
+func (s *interval) addCell(target shelfshelf.TargetName, cell *ResultCounts) {
 	if target == "" {
 		s.old.add(cell)
 		return
 	}
 	if s.newTargets[target] == nil {
-		s.newTargets[target] = &Cell{}
+		s.newTargets[target] = &ResultCounts{}
 	}
 	s.newTargets[target].add(cell)
 }
@@ -63,7 +63,7 @@
 }
 
 // computeRatios computes the ratios of an interval, given the old version's earlier answers.
-func (s *interval) computeRatios(baseline *Cell) {
+func (s *interval) computeRatios(baseline *ResultCounts) {
 	s.ratios = make(map[shelfshelf.TargetName][][]float64, len(s.newTargets))
 	for name, cell := range s.newTargets {
 		ratios := make([][]float64, len(criteria))
@@ -96,7 +96,7 @@
 }
 
 // tabulate counts the answers of one new target and of the old ones.
-func (s *interval) tabulate(c criterion, newCell, baseline *Cell) (contingencyTable, bool) {
+func (s *interval) tabulate(c criterion, newCell, baseline *ResultCounts) (contingencyTable, bool) {
 	oldCell := &s.old
 	if s.moving && oldCell.Answers < minOldAnswers {
 		// Nearly all requests go to the new version by now, so the old version's earlier answers are
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -54,19 +54,19 @@
 	// Bad reports that the new version is worse than the old one beyond chance; Why names the criterion
 	// and route.
 	Bad bool
-	Why string
+	Reason string
 	// Good reports that there are enough answers and no evidence against the version.
 	Good bool
 	// Trials counts the answers of the new version and Failed those that failed; Old and OldFailed are
 	// the same for the other versions.
 	Trials, Failed uint64
 	Old, OldFailed uint64
-	// Slower is the ratio of the new version's time to first answer to the old version's, as the
+	// SlowdownFactor is the ratio of the new version's time to first answer to the old version's, as the
 	// geometric mean over the tried targets; 0 if unknown.
-	Slower float64
-	// Against is the strongest evidence against the version, on a logarithmic scale; the version is bad
+	SlowdownFactor float64
+	// Evidence is the strongest evidence against the version, on a logarithmic scale; the version is bad
 	// if it reaches Limit.
-	Against float64
+	Evidence float64
 	Limit   float64
 }
 
@@ -93,18 +93,18 @@
 	// foldedRatios are the summed ratios of intervals older than those kept, by target and criterion.
 	foldedRatios map[shelfshelf.RouteName]map[shelfshelf.TargetName][][]float64
 	// baseline holds the old version's answers so far.
-	baseline map[shelfshelf.RouteName]*Cell
+	baseline map[shelfshelf.RouteName]*ResultCounts
 	// tallies count the answers of both versions by route and criterion.
 	tallies map[shelfshelf.RouteName]*tally
 	total   Verdict
 }
 
 // Add adds the counts of one round.
-func (j *Judge) Add(increments map[CellName]*Cell) {
+func (j *Judge) Add(increments map[CellKey]*ResultCounts) {
 	if j.closedIntervals == nil {
 		j.closedIntervals = make(map[shelfshelf.RouteName][]*interval)
 		j.openIntervals = make(map[shelfshelf.RouteName]*interval)
-		j.baseline = make(map[shelfshelf.RouteName]*Cell)
+		j.baseline = make(map[shelfshelf.RouteName]*ResultCounts)
 		j.foldedRatios = make(map[shelfshelf.RouteName]map[shelfshelf.TargetName][][]float64)
 		j.tallies = make(map[shelfshelf.RouteName]*tally)
 	}
@@ -163,7 +163,7 @@
 func (j *Judge) closeInterval(route shelfshelf.RouteName, s *interval) {
 	delete(j.openIntervals, route)
 	if j.baseline[route] == nil {
-		j.baseline[route] = &Cell{}
+		j.baseline[route] = &ResultCounts{}
 	}
 	if len(s.newTargets) > 0 {
 		s.computeRatios(j.baseline[route])
@@ -199,9 +199,9 @@
 // Verdict evaluates everything counted so far.
 func (j *Judge) Verdict() Verdict {
 	verdict := j.total
-	verdict.Slower = j.slowdownFactor()
+	verdict.SlowdownFactor = j.slowdownFactor()
 	verdict.Limit = j.limit(allRoutes)
-	verdict.Against = math.Inf(-1)
+	verdict.Evidence = math.Inf(-1)
 	for _, window := range windows {
 		for i, c := range criteria {
 			for route := range j.closedIntervals {
@@ -213,9 +213,9 @@
 		}
 	}
 	if why := j.excessiveCriterion(); why != "" {
-		verdict.Against, verdict.Why = verdict.Limit, why
+		verdict.Evidence, verdict.Reason = verdict.Limit, why
 	}
-	verdict.Bad = verdict.Against >= verdict.Limit
+	verdict.Bad = verdict.Evidence >= verdict.Limit
 	verdict.Good = !verdict.Bad && !verdict.Doubted() && verdict.Trials >= minTrials
 	return verdict
 }
@@ -247,7 +247,7 @@
 	if counts == nil || baseline == nil {
 		return 0
 	}
-	slowdown, count := meanSlowdown(counts.triedTargets(firstAnswerIndex), &baseline.First)
+	slowdown, count := meanSlowdown(counts.triedTargets(firstAnswerIndex), &baseline.FirstAnswerTimes)
 	if count == 0 {
 		return 0
 	}
@@ -268,10 +268,10 @@
 }
 
 // Doubted reports that there is evidence against the version, but not enough for a rollback.
-func (v *Verdict) Doubted() bool { return !v.Bad && v.Against >= doubtThreshold }
+func (v *Verdict) Doubted() bool { return !v.Bad && v.Evidence >= doubtThreshold }
 
 func (v *Verdict) consider(against float64, what string) {
-	if against > v.Against {
-		v.Against, v.Why = against, what
+	if against > v.Evidence {
+		v.Evidence, v.Reason = against, what
 	}
 }
