--- a/rollout/keeper.go
+++ b/rollout/keeper.go
@@ -42,24 +42,24 @@
 	unreachableDrainWait = 4 * time.Second
 )
 
-// Keeper polls the instances for their counts and evaluates them. On the leading instance it also
+// Controller polls the instances for their counts and evaluates them. On the leading instance it also
 // records the progress of rollouts in the store. Fields are set before Run.
-type Keeper struct {
+type Controller struct {
 	Clock  shelfshelf.Clock
 	Log    *log.Logger
-	Record *Record
+	Tracker *Tracker
 	Store  shelfshelf.RolloutStore
 	// Self identifies this incarnation of this instance.
-	Self Life
-	// Leads reports whether this instance is the one that writes to the store. Asks reports whether it
+	Self InstanceRun
+	// IsLeader reports whether this instance is the one that writes to the store. Asks reports whether it
 	// polls others at all: the first instance of each data centre does, so that a network partition
 	// doesn't stop the evaluation.
-	Leads func() bool
-	Asks  func() bool
-	// Others returns the addresses of the other instances, of this data centre or of all.
-	Others func(all bool) []string
-	// Ask fetches the counts of the instance at an address.
-	Ask func(ctx context.Context, address string) (Report, error)
+	IsLeader func() bool
+	ShouldPoll  func() bool
+	// PeerAddresses returns the addresses of the other instances, of this data centre or of all.
+	PeerAddresses func(all bool) []string
+	// FetchReport fetches the counts of the instance at an address.
+	FetchReport func(ctx context.Context, address string) (Report, error)
 
 	progress map[shelfshelf.PoolName]*rolloutProgress
 	// polledCount is the number of instances in the last round of polls.
@@ -71,7 +71,7 @@
 	revision uint64
 	// began is the time of the first round of polls.
 	began   time.Time
-	merger  Merger
+	merger  ReportMerger
 	judge   Judge
 	verdict Verdict
 	// drainedInstances holds, by instance, whether it last reported that it sends nothing to old
@@ -92,33 +92,33 @@
 }
 
 // Report returns the counts of this instance.
-func (k *Keeper) Report() Report {
-	return Report{Life: k.Self, Orders: k.Record.Counted()}
+func (k *Controller) Report() Report {
+	return Report{Life: k.Self, Evidence: k.Tracker.Evidence()}
 }
 
 // Run evaluates rollouts and records their progress until the context ends. It is idle while none is
 // active.
-func (k *Keeper) Run(ctx context.Context) error { return k.loop(ctx) }
+func (k *Controller) Run(ctx context.Context) error { return k.loop(ctx) }
 
-func (k *Keeper) loop(ctx context.Context) error {
+func (k *Controller) loop(ctx context.Context) error {
 	k.progress = make(map[shelfshelf.PoolName]*rolloutProgress)
 	for ctx.Err() == nil {
-		active := k.Record.Under()
+		active := k.Tracker.Active()
 		var next <-chan time.Time
 		switch {
 		case len(active) > 0:
 			next = k.Clock.After(k.pollPause(active))
-		case len(k.Record.Unsaved()) > 0:
+		case len(k.Tracker.Unsaved()) > 0:
 			next = k.Clock.After(saveAgainPause)
 		}
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-k.Record.Changes():
+		case <-k.Tracker.Changes():
 		case <-next:
 		}
-		k.saveAgain(ctx, k.Leads())
-		if active = k.Record.Under(); len(active) > 0 && k.Asks() {
+		k.saveAgain(ctx, k.IsLeader())
+		if active = k.Tracker.Active(); len(active) > 0 && k.ShouldPoll() {
 			k.poll(ctx, active)
 		}
 	}
@@ -126,7 +126,7 @@
 }
 
 // pollPause returns the time until the next round of polls.
-func (k *Keeper) pollPause(active []shelfshelf.Rollout) time.Duration {
+func (k *Controller) pollPause(active []shelfshelf.Rollout) time.Duration {
 	period := pollInterval
 	for _, rollout := range active {
 		if rollout.State == shelfshelf.RolloutMoving {
@@ -137,14 +137,14 @@
 }
 
 // poll fetches the counts of the others and evaluates each rollout.
-func (k *Keeper) poll(ctx context.Context, active []shelfshelf.Rollout) {
-	leads := k.Leads()
+func (k *Controller) poll(ctx context.Context, active []shelfshelf.Rollout) {
+	leads := k.IsLeader()
 	reports, unreachable := k.pollAll(ctx, leads)
 	k.evaluateAll(ctx, active, append(reports, k.Report()), unreachable, leads)
 }
 
 // evaluateAll evaluates each rollout by the reports of the instances and takes the next step.
-func (k *Keeper) evaluateAll(ctx context.Context, active []shelfshelf.Rollout, reports []Report, unreachable int, leads bool) {
+func (k *Controller) evaluateAll(ctx context.Context, active []shelfshelf.Rollout, reports []Report, unreachable int, leads bool) {
 	for _, rollout := range active {
 		p := k.progress[rollout.Pool]
 		if p == nil || p.revision != rollout.Revision {
@@ -161,10 +161,10 @@
 }
 
 // pollAll fetches the counts of the others and returns how many instances didn't respond.
-func (k *Keeper) pollAll(ctx context.Context, all bool) (reports []Report, unreachable int) {
+func (k *Controller) pollAll(ctx context.Context, all bool) (reports []Report, unreachable int) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	addresses := k.Others(all)
+	addresses := k.PeerAddresses(all)
 	k.polledCount = len(addresses)
 	results := make(chan *Report, len(addresses))
 	semaphore := make(chan struct{}, maxConcurrentPolls)
@@ -186,10 +186,10 @@
 	return reports, unreachable
 }
 
-func (k *Keeper) pollInstance(ctx context.Context, address string, results chan<- *Report, semaphore <-chan struct{}, wait *sync.WaitGroup) {
+func (k *Controller) pollInstance(ctx context.Context, address string, results chan<- *Report, semaphore <-chan struct{}, wait *sync.WaitGroup) {
 	defer wait.Done()
 	defer func() { <-semaphore }()
-	report, err := k.Ask(ctx, address)
+	report, err := k.FetchReport(ctx, address)
 	if err != nil {
 		k.Log.Debug("Could not fetch an instance's counts.", "from", address, "error", err)
 		results <- nil
@@ -202,11 +202,11 @@
 func (p *rolloutProgress) addReports(rollout shelfshelf.Rollout, reports []Report, unreachable int) {
 	p.unreachable, p.sendingToOld, p.instanceCount = unreachable, 0, len(reports)+unreachable
 	p.oldRunning, p.newRunning = 0, 0
-	increments := make(map[CellName]*Cell)
+	increments := make(map[CellKey]*ResultCounts)
 	for _, report := range reports {
 		evidence := report.evidenceFor(rollout)
-		p.drainedInstances[report.Life.Instance] = evidence != nil && evidence.Moved && evidence.OldRunning == 0
-		if evidence == nil || !evidence.Moved {
+		p.drainedInstances[report.Life.Instance] = evidence != nil && evidence.OldTrafficStopped && evidence.OldRunning == 0
+		if evidence == nil || !evidence.OldTrafficStopped {
 			p.sendingToOld++
 		}
 		if evidence == nil {
@@ -215,9 +215,9 @@
 		}
 		p.oldRunning += evidence.OldRunning
 		p.newRunning += evidence.NewRunning
-		for name, cell := range p.merger.Take(report.Life, *evidence) {
+		for name, cell := range p.merger.Add(report.Life, *evidence) {
 			if increments[name] == nil {
-				increments[name] = &Cell{}
+				increments[name] = &ResultCounts{}
 			}
 			increments[name].add(cell)
 		}
@@ -227,9 +227,9 @@
 
 // evidenceFor returns the part of a report about a rollout; nil if there is none.
 func (r *Report) evidenceFor(rollout shelfshelf.Rollout) *Evidence {
-	for i, evidence := range r.Orders {
+	for i, evidence := range r.Evidence {
 		if evidence.Pool == rollout.Pool && evidence.Revision == rollout.Revision {
-			return &r.Orders[i]
+			return &r.Evidence[i]
 		}
 	}
 	return nil
@@ -237,8 +237,8 @@
 
 // evaluate computes the verdict on a rollout. A version found bad is halted at once: the other
 // instances stop sending to it as soon as they learn of it, whether or not the rollback can be stored.
-func (k *Keeper) evaluate(rollout shelfshelf.Rollout, p *rolloutProgress) {
-	p.judge.Targets, p.judge.OldTargets = k.Record.Listed(rollout), k.Record.listedOthers(rollout)
+func (k *Controller) evaluate(rollout shelfshelf.Rollout, p *rolloutProgress) {
+	p.judge.Targets, p.judge.OldTargets = k.Tracker.TargetCount(rollout), k.Tracker.listedOthers(rollout)
 	p.verdict = p.judge.Verdict()
 	if !p.verdict.Bad || rollout.Halted {
 		k.extendDoubt(rollout, p)
@@ -246,56 +246,56 @@
 	}
 	k.logProgress(rollout, p, "New version is bad; halting the rollout.")
 	rollout.Halted = true
-	k.Record.Heard([]shelfshelf.Rollout{rollout}, 0, "own verdict")
+	k.Tracker.Merge([]shelfshelf.Rollout{rollout}, 0, "own verdict")
 }
 
 // extendDoubt makes the instances send more trials to a version in doubt, so that the decision comes
 // soon.
-func (k *Keeper) extendDoubt(rollout shelfshelf.Rollout, p *rolloutProgress) {
-	if !p.verdict.Doubted() || rollout.State >= shelfshelf.RolloutMoving || rollout.Doubted-rollout.Age > doubtDuration/2 {
+func (k *Controller) extendDoubt(rollout shelfshelf.Rollout, p *rolloutProgress) {
+	if !p.verdict.Doubted() || rollout.State >= shelfshelf.RolloutMoving || rollout.DoubtedUntil-rollout.Age > doubtDuration/2 {
 		return
 	}
 	k.logProgress(rollout, p, "New version is in doubt; sending more trials.")
-	rollout.Doubted = rollout.Age + doubtDuration
-	k.Record.Heard([]shelfshelf.Rollout{rollout}, 0, "own verdict")
+	rollout.DoubtedUntil = rollout.Age + doubtDuration
+	k.Tracker.Merge([]shelfshelf.Rollout{rollout}, 0, "own verdict")
 }
 
-func (k *Keeper) logProgress(rollout shelfshelf.Rollout, p *rolloutProgress, message string) {
-	sent := p.merger.Sum()
+func (k *Controller) logProgress(rollout shelfshelf.Rollout, p *rolloutProgress, message string) {
+	sent := p.merger.TotalSent()
 	k.Log.Info(message, "pool", rollout.Pool, "version", rollout.Version, "revision", rollout.Revision, "state", rollout.State, "age", rollout.Age,
-		"period", rollout.Period, "by", p.verdict.Why, "against", p.verdict.Against, "limit", p.verdict.Limit, "trials", p.verdict.Trials,
-		"trialsFailed", p.verdict.Failed, "slower", p.verdict.Slower, "others", p.verdict.Old, "othersFailed", p.verdict.OldFailed, "sent", sent.All, "sentNew", sent.New)
+		"period", rollout.Period, "by", p.verdict.Reason, "against", p.verdict.Evidence, "limit", p.verdict.Limit, "trials", p.verdict.Trials,
+		"trialsFailed", p.verdict.Failed, "slower", p.verdict.SlowdownFactor, "others", p.verdict.Old, "othersFailed", p.verdict.OldFailed, "sent", sent.All, "sentNew", sent.New)
 }
 
 // advance takes the next step of a rollout.
-func (k *Keeper) advance(ctx context.Context, rollout shelfshelf.Rollout, p *rolloutProgress) {
+func (k *Controller) advance(ctx context.Context, rollout shelfshelf.Rollout, p *rolloutProgress) {
 	now := k.Clock.Now()
 	switch {
 	case rollout.Halted || p.verdict.Bad:
 		k.saveState(ctx, rollout, p, shelfshelf.RolloutRolledBack)
-	case k.Record.Serves(rollout):
+	case k.Tracker.AlreadyServing(rollout):
 		k.saveState(ctx, rollout, p, shelfshelf.RolloutCompleted)
 	case rollout.State == shelfshelf.RolloutOrdered:
 		k.saveState(ctx, rollout, p, shelfshelf.RolloutServing)
 	case rollout.State == shelfshelf.RolloutServing && k.mayStartMove(rollout, p):
 		k.logProgress(rollout, p, "New version is good; starting the move.")
 		rollout.State = shelfshelf.RolloutMoving
-		k.Record.Heard([]shelfshelf.Rollout{rollout}, 0, "own verdict")
+		k.Tracker.Merge([]shelfshelf.Rollout{rollout}, 0, "own verdict")
 	case rollout.State == shelfshelf.RolloutMoving && p.drained(now) && p.proven(now):
 		k.saveState(ctx, rollout, p, shelfshelf.RolloutCompleted)
 	}
 }
 
 // mayStartMove reports whether the new version may take over: near the deadline or after it.
-func (k *Keeper) mayStartMove(rollout shelfshelf.Rollout, p *rolloutProgress) bool {
+func (k *Controller) mayStartMove(rollout shelfshelf.Rollout, p *rolloutProgress) bool {
 	left := rollout.Period - rollout.Age
-	sent := p.merger.Sum()
-	if left > k.Record.Bounds.moveTime(rollout, sent, k.Clock.Now().Sub(p.began)) || k.Record.Listed(rollout) == 0 {
+	sent := p.merger.TotalSent()
+	if left > k.Tracker.Bounds.moveTime(rollout, sent, k.Clock.Now().Sub(p.began)) || k.Tracker.TargetCount(rollout) == 0 {
 		return false
 	}
 	// A pool with fewer requests than the slack in its whole period can't provide evidence.
-	idle := left <= 0 && float64(sent.All) < slackFraction*k.Record.Bounds.Slack && !p.verdict.Bad
-	return p.verdict.Good && !p.trialsOverdue(k.Record.Bounds.trialShare()) || idle
+	idle := left <= 0 && float64(sent.All) < slackFraction*k.Tracker.Bounds.Slack && !p.verdict.Bad
+	return p.verdict.Good && !p.trialsOverdue(k.Tracker.Bounds.trialShare()) || idle
 }
 
 // trialsOverdue reports that more trials are in flight than there would be for a version as fast as the
@@ -344,15 +344,15 @@
 
 // saveState stores the new state of a rollout. If the store already has a final state, that one
 // applies.
-func (k *Keeper) saveState(ctx context.Context, rollout shelfshelf.Rollout, p *rolloutProgress, state shelfshelf.RolloutState) {
+func (k *Controller) saveState(ctx context.Context, rollout shelfshelf.Rollout, p *rolloutProgress, state shelfshelf.RolloutState) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	rollout.State = state
 	stored, err := k.Store.SaveRollout(ctx, rollout)
 	if err == nil {
-		rollout.Stored = stored
+		rollout.RowVersion = stored
 		k.logProgress(rollout, p, "Stored a new rollout state.")
-		k.Record.Heard([]shelfshelf.Rollout{rollout}, 0, "own write")
+		k.Tracker.Merge([]shelfshelf.Rollout{rollout}, 0, "own write")
 		return
 	}
 	k.Log.Warn("Could not store the rollout state.", "pool", rollout.Pool, "state", state, "error", err)
@@ -362,7 +362,7 @@
 }
 
 // reload reads the stored state of a rollout.
-func (k *Keeper) reload(ctx context.Context, rollout shelfshelf.Rollout) {
+func (k *Controller) reload(ctx context.Context, rollout shelfshelf.Rollout) {
 	kept, err := k.Store.LoadRollouts(ctx)
 	if err != nil {
 		k.Log.Warn("Could not read the stored rollout states.", "error", err)
@@ -372,10 +372,10 @@
 		if found.Pool != rollout.Pool {
 			continue
 		}
-		rollout.Stored = found.Stored
+		rollout.RowVersion = found.RowVersion
 		if found.Revision == rollout.Revision {
 			rollout.State = max(found.State, shelfshelf.RolloutServing)
 		}
-		k.Record.Heard([]shelfshelf.Rollout{rollout}, 0, "the store")
+		k.Tracker.Merge([]shelfshelf.Rollout{rollout}, 0, "the store")
 	}
 }
--- a/rollout/outcome_test.go
+++ b/rollout/outcome_test.go
@@ -47,7 +47,7 @@
 			addNote("a bad version was not found")
 		}
 	}
-	if !sim.state.Over() {
+	if !sim.state.Finished() {
 		o.undecided++
 	}
 	if sim.bad && float64(sim.exposed) > share*float64(sim.all)+slack {
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -88,7 +88,7 @@
 // extraShare returns the fraction of the requests that try the new version beyond the plan while it is
 // in doubt. The move can't start during that time, so trials may use its part of the share.
 func (b Bounds) extraShare(rollout shelfshelf.Rollout) float64 {
-	if rollout.Age >= rollout.Doubted {
+	if rollout.Age >= rollout.DoubtedUntil {
 		return 0
 	}
 	return earlyPace*b.trialShare() - b.plannedShare(rollout)
@@ -172,10 +172,10 @@
 // moveShare returns the fraction of the requests that goes to the new version during a move of the
 // given length.
 func moveShare(rollout shelfshelf.Rollout, length time.Duration) float64 {
-	if length <= 0 || rollout.Moving > length {
+	if length <= 0 || rollout.MovingFor > length {
 		return 1
 	}
-	return min(float64(rollout.Moving)/(rampFraction*float64(length)), 1)
+	return min(float64(rollout.MovingFor)/(rampFraction*float64(length)), 1)
 }
 
 // moveTime returns how long before the deadline the move should start. All that the new version gets by
@@ -183,7 +183,7 @@
 // requests were counted. It is shorter than the rollout's age if all instances have restarted; dividing
 // by the age then gave half of the true rate, and the move started so early that 300 of 2,340 requests
 // went to the new version while 284 were allowed.
-func (b Bounds) moveTime(rollout shelfshelf.Rollout, sent Sent, counted time.Duration) time.Duration {
+func (b Bounds) moveTime(rollout shelfshelf.Rollout, sent SentCounts, counted time.Duration) time.Duration {
 	if counted <= 0 || sent.All == 0 {
 		return 0
 	}
@@ -199,9 +199,9 @@
 	return min(time.Duration((exposureFraction-trialFraction)*b.Share*float64(rollout.Period)), maxMoveTime)
 }
 
-// Sent counts the requests sent to a pool since a rollout was ordered, and those of them sent to the
+// SentCounts counts the requests sent to a pool since a rollout was ordered, and those of them sent to the
 // new version.
-type Sent struct {
+type SentCounts struct {
 	All uint64
 	New uint64
 }
--- a/rollout/record.go
+++ b/rollout/record.go
@@ -13,9 +13,9 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-// Record holds what one instance knows of rollouts, and counts the requests it sends and their results.
+// Tracker holds what one instance knows of rollouts, and counts the requests it sends and their results.
 // Fields are set before use. It is safe for concurrent use.
-type Record struct {
+type Tracker struct {
 	Clock  shelfshelf.Clock
 	Log    *log.Logger
 	Bounds Bounds
@@ -26,8 +26,8 @@
 	Running func(pool shelfshelf.PoolName, version shelfshelf.TargetVersion) (others, matching int)
 	// Instances returns the number of instances, this one included; nil means unknown.
 	Instances func() int
-	// Changed is called without locks held after a rollout has changed; may be nil.
-	Changed func()
+	// OnChange is called without locks held after a rollout has changed; may be nil.
+	OnChange func()
 
 	mu       sync.Mutex
 	rollouts map[shelfshelf.PoolName]*trackedRollout
@@ -59,7 +59,7 @@
 }
 
 // random returns a uniform number in [0, 1).
-func (r *Record) random() float64 {
+func (r *Tracker) random() float64 {
 	if r.Random == nil {
 		return rand.Float64()
 	}
@@ -71,29 +71,29 @@
 	rollout := tracked.rollout
 	rollout.Age += now.Sub(tracked.updatedAt)
 	if rollout.State == shelfshelf.RolloutMoving {
-		rollout.Moving += now.Sub(tracked.updatedAt)
+		rollout.MovingFor += now.Sub(tracked.updatedAt)
 	}
 	return rollout
 }
 
 // Changes returns a channel that signals changed rollouts.
-func (r *Record) Changes() <-chan struct{} {
+func (r *Tracker) Changes() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.changeSignal()
 }
 
 // changeSignal returns the channel of Changes and creates it if needed. The caller must hold r.mu.
-func (r *Record) changeSignal() chan struct{} {
+func (r *Tracker) changeSignal() chan struct{} {
 	if r.changes == nil {
 		r.changes = make(chan struct{}, 1)
 	}
 	return r.changes
 }
 
-// Heard merges rollouts read from the store or received from another instance. They include every
+// Merge merges rollouts read from the store or received from another instance. They include every
 // rollout that had been ordered as of position asOf of the store.
-func (r *Record) Heard(received []shelfshelf.Rollout, asOf uint64, from string) {
+func (r *Tracker) Merge(received []shelfshelf.Rollout, asOf uint64, from string) {
 	r.mu.Lock()
 	r.asOf = max(r.asOf, asOf)
 	changed := false
@@ -109,14 +109,14 @@
 		}
 	}
 	r.mu.Unlock()
-	if changed && r.Changed != nil {
-		r.Changed()
+	if changed && r.OnChange != nil {
+		r.OnChange()
 	}
 }
 
 // apply merges an update if it adds to what is known, and reports whether anything changed. The caller
 // must hold r.mu.
-func (r *Record) apply(rollout shelfshelf.Rollout, from string) bool {
+func (r *Tracker) apply(rollout shelfshelf.Rollout, from string) bool {
 	if r.rollouts == nil {
 		r.rollouts = make(map[shelfshelf.PoolName]*trackedRollout)
 	}
@@ -124,34 +124,34 @@
 	known := r.rollouts[rollout.Pool]
 	if known != nil {
 		changed, stale := known.adoptRestored(rollout)
-		if stale || !rollout.Adds(known.rollout) {
+		if stale || !rollout.AddsTo(known.rollout) {
 			return changed
 		}
 	}
 	if known == nil || known.rollout.Revision != rollout.Revision {
 		if known != nil {
-			rollout.Barred = barredVersions(known.rollout, rollout)
+			rollout.BarredVersions = barredVersions(known.rollout, rollout)
 		}
 		known = &trackedRollout{
 			replaced:   replacedRollouts(known),
 			trialQuota: trialQuota{offset: r.random(), since: rollout.Age},
-			evidence:   Evidence{Pool: rollout.Pool, Revision: rollout.Revision, Cells: make(map[CellName]*Cell)},
+			evidence:   Evidence{Pool: rollout.Pool, Revision: rollout.Revision, Cells: make(map[CellKey]*ResultCounts)},
 		}
 		r.rollouts[rollout.Pool] = known
 	} else {
-		known.completedHere = known.completedHere || !known.rollout.State.Over() && rollout.State == shelfshelf.RolloutCompleted
+		known.completedHere = known.completedHere || !known.rollout.State.Finished() && rollout.State == shelfshelf.RolloutCompleted
 		rollout = mergeRollouts(known.current(now), rollout)
 	}
 	known.rollout, known.updatedAt = rollout, now
 	r.Log.Info("Rollout changed.", "pool", rollout.Pool, "version", rollout.Version, "revision", rollout.Revision,
-		"state", rollout.State, "halted", rollout.Halted, "doubted", rollout.Doubted, "period", rollout.Period, "age", rollout.Age, "moving", rollout.Moving, "from", from)
+		"state", rollout.State, "halted", rollout.Halted, "doubted", rollout.DoubtedUntil, "period", rollout.Period, "age", rollout.Age, "moving", rollout.MovingFor, "from", from)
 	return true
 }
 
 // barredVersions returns the versions that get no requests once a rollout replaces another: those
 // barred before, and the version of the replaced rollout unless that was completed.
 func barredVersions(before, rollout shelfshelf.Rollout) []shelfshelf.TargetVersion {
-	all := append(slices.Clone(before.Barred), rollout.Barred...)
+	all := append(slices.Clone(before.BarredVersions), rollout.BarredVersions...)
 	if before.State != shelfshelf.RolloutCompleted {
 		all = append(all, before.Version)
 	}
@@ -163,24 +163,24 @@
 // mergeRollouts combines two states of the same rollout, each of which may lack details of the other.
 func mergeRollouts(known, rollout shelfshelf.Rollout) shelfshelf.Rollout {
 	rollout.Halted = rollout.Halted || known.Halted
-	rollout.Stored = max(rollout.Stored, known.Stored)
+	rollout.RowVersion = max(rollout.RowVersion, known.RowVersion)
 	rollout.Age = max(rollout.Age, known.Age)
-	rollout.Doubted = max(rollout.Doubted, known.Doubted)
-	if len(rollout.Barred) == 0 {
-		rollout.Barred = known.Barred
+	rollout.DoubtedUntil = max(rollout.DoubtedUntil, known.DoubtedUntil)
+	if len(rollout.BarredVersions) == 0 {
+		rollout.BarredVersions = known.BarredVersions
 	}
 	if known.State > rollout.State {
 		rollout.State = known.State
 	}
 	if known.State == shelfshelf.RolloutMoving && rollout.State == shelfshelf.RolloutMoving {
-		rollout.Moving = max(rollout.Moving, known.Moving)
+		rollout.MovingFor = max(rollout.MovingFor, known.MovingFor)
 	}
 	return rollout
 }
 
-// Told returns the snapshot that this instance sends to others: its rollouts, and the position of the
+// Snapshot returns the snapshot that this instance sends to others: its rollouts, and the position of the
 // store up to which all are known.
-func (r *Record) Told() (rollouts []shelfshelf.Rollout, asOf uint64) {
+func (r *Tracker) Snapshot() (rollouts []shelfshelf.Rollout, asOf uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.Clock.Now()
@@ -190,24 +190,24 @@
 	return rollouts, r.asOf
 }
 
-// Under returns the active rollouts.
-func (r *Record) Under() []shelfshelf.Rollout {
-	rollouts, _ := r.Told()
+// Active returns the active rollouts.
+func (r *Tracker) Active() []shelfshelf.Rollout {
+	rollouts, _ := r.Snapshot()
 	var active []shelfshelf.Rollout
 	for _, rollout := range rollouts {
-		if !rollout.State.Over() {
+		if !rollout.State.Finished() {
 			active = append(active, rollout)
 		}
 	}
 	return active
 }
 
-// Counted returns the evidence of this instance on each active rollout.
-func (r *Record) Counted() []Evidence {
+// Evidence returns the evidence of this instance on each active rollout.
+func (r *Tracker) Evidence() []Evidence {
 	var running map[shelfshelf.PoolName][2]int
 	if r.Running != nil {
 		running = make(map[shelfshelf.PoolName][2]int)
-		for _, rollout := range r.Under() {
+		for _, rollout := range r.Active() {
 			others, matching := r.Running(rollout.Pool, rollout.Version)
 			running[rollout.Pool] = [2]int{others, matching}
 		}
@@ -217,15 +217,15 @@
 	now := r.Clock.Now()
 	var all []Evidence
 	for _, tracked := range r.rollouts {
-		if tracked.rollout.State.Over() {
+		if tracked.rollout.State.Finished() {
 			continue
 		}
 		counted := tracked.evidence
 		rollout := tracked.current(now)
 		counted.OldRunning, counted.NewRunning = running[rollout.Pool][0], running[rollout.Pool][1]
-		counted.Moved = rollout.State == shelfshelf.RolloutMoving && moveShare(rollout, r.Bounds.estimatedMoveTime(rollout)) >= 1
-		counted.Sent = Sent{All: uint64(max(tracked.sent, 0)), New: uint64(max(tracked.trials, 0))}
-		counted.Cells = make(map[CellName]*Cell, len(tracked.evidence.Cells))
+		counted.OldTrafficStopped = rollout.State == shelfshelf.RolloutMoving && moveShare(rollout, r.Bounds.estimatedMoveTime(rollout)) >= 1
+		counted.Sent = SentCounts{All: uint64(max(tracked.sent, 0)), New: uint64(max(tracked.trials, 0))}
+		counted.Cells = make(map[CellKey]*ResultCounts, len(tracked.evidence.Cells))
 		for name, cell := range tracked.evidence.Cells {
 			copied := *cell
 			counted.Cells[name] = &copied
@@ -235,17 +235,17 @@
 	return all
 }
 
-// Began notes that a request was assigned to a target.
-func (r *Record) Began(target shelfshelf.Target) { r.countSent(target, 1) }
+// RequestStarted notes that a request was assigned to a target.
+func (r *Tracker) RequestStarted(target shelfshelf.Target) { r.countSent(target, 1) }
 
-// Unsent notes that an assigned request didn't reach its target after all.
-func (r *Record) Unsent(target shelfshelf.Target) { r.countSent(target, -1) }
+// RequestUnsent notes that an assigned request didn't reach its target after all.
+func (r *Tracker) RequestUnsent(target shelfshelf.Target) { r.countSent(target, -1) }
 
-func (r *Record) countSent(target shelfshelf.Target, by int) {
+func (r *Tracker) countSent(target shelfshelf.Target, by int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	tracked := r.rollouts[target.Pool]
-	if tracked == nil || tracked.rollout.State.Over() {
+	if tracked == nil || tracked.rollout.State.Finished() {
 		return
 	}
 	tracked.sent += by
@@ -255,18 +255,18 @@
 	}
 }
 
-// Ended counts the result of a request.
-func (r *Record) Ended(target shelfshelf.Target, report shelfshelf.AttemptReport) {
+// RequestEnded counts the result of a request.
+func (r *Tracker) RequestEnded(target shelfshelf.Target, report shelfshelf.AttemptReport) {
 	if report.Route == "" {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	tracked := r.rollouts[target.Pool]
-	if tracked == nil || tracked.rollout.State.Over() {
+	if tracked == nil || tracked.rollout.State.Finished() {
 		return
 	}
-	name := CellName{Route: report.Route}
+	name := CellKey{Route: report.Route}
 	if target.Version == tracked.rollout.Version {
 		name.Target = target.Name
 		if tracked.rollout.State == shelfshelf.RolloutMoving {
@@ -288,7 +288,7 @@
 
 // Retire marks the old targets of rollouts that were completed while this instance was running. They
 // get no more requests, because they stop at once.
-func (r *Record) Retire(targets []shelfshelf.Target) {
+func (r *Tracker) Retire(targets []shelfshelf.Target) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for pool, tracked := range r.rollouts {
--- a/rollout/record_test.go
+++ b/rollout/record_test.go
@@ -19,8 +19,8 @@
 func (c *manualClock) Now() time.Time                       { return c.now }
 func (c *manualClock) After(time.Duration) <-chan time.Time { return nil }
 
-func newTestRecord(clock *manualClock) *Record {
-	return &Record{Clock: clock, Log: log.New(io.Discard), Bounds: Bounds{Share: share, Slack: slack}}
+func newTestRecord(clock *manualClock) *Tracker {
+	return &Tracker{Clock: clock, Log: log.New(io.Discard), Bounds: Bounds{Share: share, Slack: slack}}
 }
 
 func targetsWithVersions(counts map[shelfshelf.TargetVersion]int) []shelfshelf.Target {
@@ -41,11 +41,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		clock := &manualClock{now: time.Unix(1000, 0)}
 		const instances = 3
-		var records [instances]*Record
+		var records [instances]*Tracker
 		targets := targetsWithVersions(map[shelfshelf.TargetVersion]int{"v1": 4, "v2": 4, "v3": 4})
 		begin := func(i int) {
 			records[i] = newTestRecord(clock)
-			records[i].Targets(targets, 1)
+			records[i].SetTargets(targets, 1)
 		}
 		for i := range records {
 			begin(i)
@@ -62,7 +62,7 @@
 			},
 			"step": func(t *rapid.T) {
 				i := rapid.IntRange(0, instances-1).Draw(t, "instance")
-				known, _ := records[i].Told()
+				known, _ := records[i].Snapshot()
 				if len(known) == 0 {
 					t.Skip("no rollout known")
 				}
@@ -84,7 +84,7 @@
 					}
 					rollout.State = ended[rollout.Revision]
 				}
-				records[i].Heard([]shelfshelf.Rollout{rollout}, 0, "test")
+				records[i].Merge([]shelfshelf.Rollout{rollout}, 0, "test")
 				updates = append(updates, []shelfshelf.Rollout{rollout})
 			},
 			"hear": func(t *rapid.T) {
@@ -92,28 +92,28 @@
 					t.Skip("no updates yet")
 				}
 				i := rapid.IntRange(0, instances-1).Draw(t, "instance")
-				before, _ := records[i].Told()
-				records[i].Heard(updates[rapid.IntRange(0, len(updates)-1).Draw(t, "word")], 0, "test")
-				after, _ := records[i].Told()
-				if len(before) > 0 && before[0].Adds(after[0]) {
+				before, _ := records[i].Snapshot()
+				records[i].Merge(updates[rapid.IntRange(0, len(updates)-1).Draw(t, "word")], 0, "test")
+				after, _ := records[i].Snapshot()
+				if len(before) > 0 && before[0].AddsTo(after[0]) {
 					t.Fatalf("%+v became %+v", before[0], after[0])
 				}
 			},
 			"tell": func(t *rapid.T) {
 				i := rapid.IntRange(0, instances-1).Draw(t, "instance")
-				known, _ := records[i].Told()
+				known, _ := records[i].Snapshot()
 				updates = append(updates, known)
 			},
 			"restart": func(t *rapid.T) {
 				i := rapid.IntRange(0, instances-1).Draw(t, "instance")
-				known, asOf := records[(i+1)%instances].Told()
+				known, asOf := records[(i+1)%instances].Snapshot()
 				begin(i)
-				records[i].Heard(known, asOf, "test")
+				records[i].Merge(known, asOf, "test")
 			},
 			"wait": func(*rapid.T) { clock.now = clock.now.Add(700 * time.Millisecond) },
 			"": func(t *rapid.T) {
 				for _, record := range records {
-					known, _ := record.Told()
+					known, _ := record.Snapshot()
 					if len(known) == 0 {
 						continue
 					}
@@ -124,7 +124,7 @@
 							t.Fatalf("%+v allows target %s of version %s", known[0], target.Name, target.Version)
 						}
 						if target.Version != known[0].Version && choice.Allows(target) {
-							for _, version := range known[0].Barred {
+							for _, version := range known[0].BarredVersions {
 								if version == target.Version {
 									t.Fatalf("%+v allows a barred version", known[0])
 								}
@@ -135,11 +135,11 @@
 				// Instances that have received all updates agree.
 				one, other := newTestRecord(clock), newTestRecord(clock)
 				for i := range updates {
-					one.Heard(updates[i], 0, "test")
-					other.Heard(updates[len(updates)-1-i], 0, "test")
+					one.Merge(updates[i], 0, "test")
+					other.Merge(updates[len(updates)-1-i], 0, "test")
 				}
-				first, _ := one.Told()
-				second, _ := other.Told()
+				first, _ := one.Snapshot()
+				second, _ := other.Snapshot()
 				if len(first) > 0 && (first[0].Revision != second[0].Revision || first[0].State != second[0].State || first[0].Halted != second[0].Halted) {
 					t.Fatalf("updates in different order gave %+v and %+v", first[0], second[0])
 				}
@@ -206,20 +206,20 @@
 		},
 		"a halted version gets no requests before the rollback is stored": {
 			before: map[shelfshelf.TargetVersion]int{"v1": 4}, after: map[shelfshelf.TargetVersion]int{"v1": 4, "v2": 4}, asOf: 20,
-			updates: []shelfshelf.Rollout{{Pool: "p", Revision: 10, Version: "v2", State: shelfshelf.RolloutMoving, Moving: time.Minute, Halted: true}},
+			updates: []shelfshelf.Rollout{{Pool: "p", Revision: 10, Version: "v2", State: shelfshelf.RolloutMoving, MovingFor: time.Minute, Halted: true}},
 			allowed: []shelfshelf.TargetVersion{"v1"},
 		},
 		"nor does one halted by an instance that didn't know of the move": {
 			before: map[shelfshelf.TargetVersion]int{"v1": 4}, after: map[shelfshelf.TargetVersion]int{"v1": 4, "v2": 4}, asOf: 20,
 			updates: []shelfshelf.Rollout{
-				{Pool: "p", Revision: 10, Version: "v2", State: shelfshelf.RolloutMoving, Moving: time.Minute},
+				{Pool: "p", Revision: 10, Version: "v2", State: shelfshelf.RolloutMoving, MovingFor: time.Minute},
 				{Pool: "p", Revision: 10, Version: "v2", State: shelfshelf.RolloutServing, Halted: true},
 			},
 			allowed: []shelfshelf.TargetVersion{"v1"},
 		},
 		"after the move all requests go to the new version": {
 			before: map[shelfshelf.TargetVersion]int{"v1": 4}, after: map[shelfshelf.TargetVersion]int{"v1": 4, "v2": 4}, asOf: 20,
-			updates: []shelfshelf.Rollout{{Pool: "p", Revision: 10, Version: "v2", Period: time.Second, State: shelfshelf.RolloutMoving, Moving: time.Minute}},
+			updates: []shelfshelf.Rollout{{Pool: "p", Revision: 10, Version: "v2", Period: time.Second, State: shelfshelf.RolloutMoving, MovingFor: time.Minute}},
 			allowed: []shelfshelf.TargetVersion{"v2"},
 		},
 	} {
@@ -227,11 +227,11 @@
 			t.Parallel()
 			clock := &manualClock{now: time.Unix(1000, 0)}
 			record := newTestRecord(clock)
-			record.Targets(targetsWithVersions(c.before), 1)
-			record.Targets(targetsWithVersions(c.after), 8)
-			record.Heard(nil, c.asOf, "test")
+			record.SetTargets(targetsWithVersions(c.before), 1)
+			record.SetTargets(targetsWithVersions(c.after), 8)
+			record.Merge(nil, c.asOf, "test")
 			for _, rollout := range c.updates {
-				record.Heard([]shelfshelf.Rollout{rollout}, 0, "test")
+				record.Merge([]shelfshelf.Rollout{rollout}, 0, "test")
 			}
 			clock.now = clock.now.Add(c.later)
 			targets := targetsWithVersions(c.after)
@@ -285,9 +285,9 @@
 }
 
 func FuzzDecodeReport(f *testing.F) {
-	report := Report{Life: Life{Instance: "n", Incarnation: 3}, Orders: []Evidence{{
-		Pool: "p", Revision: 4, Sent: Sent{All: 5, New: 1}, Moved: true, OldRunning: 2,
-		Cells: map[CellName]*Cell{{Route: "r", Target: "t"}: {Answers: 3, Failed: 1}},
+	report := Report{Life: InstanceRun{Instance: "n", Incarnation: 3}, Evidence: []Evidence{{
+		Pool: "p", Revision: 4, Sent: SentCounts{All: 5, New: 1}, OldTrafficStopped: true, OldRunning: 2,
+		Cells: map[CellKey]*ResultCounts{{Route: "r", Target: "t"}: {Answers: 3, Failed: 1}},
 	}}}
 	content, err := EncodeReport(report)
 	if err != nil {
--- a/rollout/restore.go
+++ b/rollout/restore.go
@@ -31,14 +31,14 @@
 	tracked.rollout.Revision = rollout.Revision
 	tracked.evidence.Revision = rollout.Revision
 	// The state that was stored for the previous revision is lost.
-	tracked.rollout.Stored = 0
+	tracked.rollout.RowVersion = 0
 	tracked.unsaved = tracked.rollout.State != shelfshelf.RolloutOrdered
 	return true, false
 }
 
 // Unsaved returns the rollouts whose state has to be stored again, because the store was restored from
 // an older copy without it.
-func (r *Record) Unsaved() []shelfshelf.Rollout {
+func (r *Tracker) Unsaved() []shelfshelf.Rollout {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.Clock.Now()
@@ -52,7 +52,7 @@
 }
 
 // markSaved notes that the state of a rollout is stored again.
-func (r *Record) markSaved(rollout shelfshelf.Rollout) {
+func (r *Tracker) markSaved(rollout shelfshelf.Rollout) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if tracked := r.rollouts[rollout.Pool]; tracked != nil && tracked.rollout.Revision == rollout.Revision {
@@ -66,10 +66,10 @@
 // saveAgain stores the rollout states that were lost when the store was restored from an older copy,
 // for the operator and for instances that start later. Only the leading instance writes; the others
 // assume that it does.
-func (k *Keeper) saveAgain(ctx context.Context, leads bool) {
-	for _, rollout := range k.Record.Unsaved() {
+func (k *Controller) saveAgain(ctx context.Context, leads bool) {
+	for _, rollout := range k.Tracker.Unsaved() {
 		if !leads {
-			k.Record.markSaved(rollout)
+			k.Tracker.markSaved(rollout)
 			continue
 		}
 		saveCtx, cancel := context.WithTimeout(ctx, storeTimeout)
@@ -77,9 +77,9 @@
 		cancel()
 		switch {
 		case err == nil:
-			rollout.Stored = stored
-			k.Record.markSaved(rollout)
-			k.Record.Heard([]shelfshelf.Rollout{rollout}, 0, "own write")
+			rollout.RowVersion = stored
+			k.Tracker.markSaved(rollout)
+			k.Tracker.Merge([]shelfshelf.Rollout{rollout}, 0, "own write")
 			k.Log.Info("Stored the rollout state again after a store restore.", "pool", rollout.Pool, "version", rollout.Version, "state", rollout.State)
 		case errors.Is(err, shelfshelf.ErrConflict), errors.Is(err, shelfshelf.ErrAmbiguous):
 			k.reload(ctx, rollout)
--- a/rollout/restore_test.go
+++ b/rollout/restore_test.go
@@ -15,8 +15,8 @@
 }
 
 // knownRollout returns the rollout that the record knows for its pool.
-func knownRollout(r *Record) shelfshelf.Rollout {
-	known, _ := r.Told()
+func knownRollout(r *Tracker) shelfshelf.Rollout {
+	known, _ := r.Snapshot()
 	return known[0]
 }
 
@@ -58,9 +58,9 @@
 		t.Run(name, func(t *testing.T) {
 			r := newTestRecord(&manualClock{now: time.Unix(1000, 0)})
 			for _, known := range c.known {
-				r.Heard([]shelfshelf.Rollout{known}, known.Revision, "the store")
+				r.Merge([]shelfshelf.Rollout{known}, known.Revision, "the store")
 			}
-			r.Heard([]shelfshelf.Rollout{c.rollout}, c.rollout.Revision, "the store")
+			r.Merge([]shelfshelf.Rollout{c.rollout}, c.rollout.Revision, "the store")
 			got := knownRollout(r)
 			if got.Revision != c.want.Revision || got.Version != c.want.Version || got.State != c.want.State {
 				t.Errorf("got %+v, want %+v", got, c.want)
--- a/rollout/sim_test.go
+++ b/rollout/sim_test.go
@@ -87,14 +87,14 @@
 	now     time.Time
 	began   time.Time
 	events  eventQueue
-	records []*Record
+	records []*Tracker
 	// partitioned marks the instances that receive nothing at present.
 	partitioned  []bool
 	incarnations []uint64
-	keeper       *Keeper
+	keeper       *Controller
 	targets      []shelfshelf.Target
 	// runningByVersion counts the requests that each instance has running at old and at new targets.
-	runningByVersion map[*Record]*[2]int
+	runningByVersion map[*Tracker]*[2]int
 	timeFactors      map[shelfshelf.TargetName]float64
 	running          map[shelfshelf.TargetName]int
 	grey             map[shelfshelf.TargetName]bool
@@ -139,23 +139,23 @@
 	if sim.random.Float64() < 0.1 {
 		return 0, shelfshelf.ErrUnavailable
 	}
-	if sim.state.Over() {
+	if sim.state.Finished() {
 		return 0, shelfshelf.ErrConflict
 	}
 	sim.state = r.State
-	if r.State.Over() {
+	if r.State.Finished() {
 		sim.ended = sim.now
 	}
-	return r.Stored + 1, nil
+	return r.RowVersion + 1, nil
 }
 
 func (sim *simulation) LoadRollouts(context.Context) ([]shelfshelf.Rollout, error) {
 	return []shelfshelf.Rollout{{Pool: "p", Revision: 10, State: sim.state}}, nil
 }
 
-func (sim *simulation) newRecord() *Record {
+func (sim *simulation) newRecord() *Tracker {
 	running := &[2]int{}
-	record := &Record{
+	record := &Tracker{
 		Instances: func() int { return sim.instances },
 		Running:   func(shelfshelf.PoolName, shelfshelf.TargetVersion) (int, int) { return running[0], running[1] },
 		Clock:     sim, Log: log.New(io.Discard), Bounds: Bounds{Share: share, Slack: slack}, Random: sim.random.Float64,
@@ -168,7 +168,7 @@
 	sim := &simulation{
 		size: s, fault: f, period: period, random: rand.New(rand.NewPCG(seed, 7)),
 		now: time.Unix(1000, 0), timeFactors: make(map[shelfshelf.TargetName]float64),
-		runningByVersion: make(map[*Record]*[2]int),
+		runningByVersion: make(map[*Tracker]*[2]int),
 		running:          make(map[shelfshelf.TargetName]int), grey: make(map[shelfshelf.TargetName]bool),
 	}
 	sim.began = sim.now
@@ -190,13 +190,13 @@
 		sim.records = append(sim.records, sim.newRecord())
 	}
 	for i, record := range sim.records {
-		record.Targets(sim.targets[:s.targets], 1)
+		record.SetTargets(sim.targets[:s.targets], 1)
 		sim.after(sim.messageDelay(), func() { sim.learnRollout(i) })
 	}
-	sim.keeper = &Keeper{
-		Clock: sim, Log: log.New(io.Discard), Record: sim.records[0], Store: sim, Self: Life{Instance: "0"},
-		Leads: func() bool { return true }, Asks: func() bool { return true },
-		Others: func(bool) []string { return nil }, progress: make(map[shelfshelf.PoolName]*rolloutProgress),
+	sim.keeper = &Controller{
+		Clock: sim, Log: log.New(io.Discard), Tracker: sim.records[0], Store: sim, Self: InstanceRun{Instance: "0"},
+		IsLeader: func() bool { return true }, ShouldPoll: func() bool { return true },
+		PeerAddresses: func(bool) []string { return nil }, progress: make(map[shelfshelf.PoolName]*rolloutProgress),
 	}
 	return sim
 }
@@ -207,20 +207,20 @@
 }
 
 func (sim *simulation) learnRollout(i int) {
-	sim.records[i].Targets(sim.targets, 12)
-	if known, asOf := sim.records[0].Told(); len(known) > 0 {
+	sim.records[i].SetTargets(sim.targets, 12)
+	if known, asOf := sim.records[0].Snapshot(); len(known) > 0 {
 		// An instance that starts later learns what the others know.
-		sim.records[i].Heard(known, asOf, "test")
+		sim.records[i].Merge(known, asOf, "test")
 		return
 	}
-	sim.records[i].Heard([]shelfshelf.Rollout{{
+	sim.records[i].Merge([]shelfshelf.Rollout{{
 		Pool: "p", Revision: 10, Version: "v2", Period: sim.period, Age: sim.now.Sub(sim.began), State: shelfshelf.RolloutServing,
 	}}, 20, "test")
 }
 
 // poll polls the instances as the Keeper does; some responses are lost.
 func (sim *simulation) poll() {
-	active := sim.records[0].Under()
+	active := sim.records[0].Active()
 	if len(active) > 0 {
 		var reports []Report
 		unreachable := 0
@@ -229,11 +229,11 @@
 				unreachable++
 				continue
 			}
-			reports = append(reports, Report{Life: Life{Instance: shelfshelf.InstanceID(fmt.Sprint(i)), Incarnation: sim.incarnations[i]}, Orders: record.Counted()})
+			reports = append(reports, Report{Life: InstanceRun{Instance: shelfshelf.InstanceID(fmt.Sprint(i)), Incarnation: sim.incarnations[i]}, Evidence: record.Evidence()})
 		}
 		sim.keeper.evaluateAll(context.Background(), active, reports, unreachable, true)
 		if t := sim.keeper.progress["p"]; t != nil {
-			sim.why = fmt.Sprintf("%s %.1f of %.1f, %d trials", t.verdict.Why, t.verdict.Against, t.verdict.Limit, t.verdict.Trials)
+			sim.why = fmt.Sprintf("%s %.1f of %.1f, %d trials", t.verdict.Reason, t.verdict.Evidence, t.verdict.Limit, t.verdict.Trials)
 		}
 	}
 	sim.broadcast()
@@ -242,7 +242,7 @@
 
 // broadcast sends the rollouts known to the Keeper's instance to the others.
 func (sim *simulation) broadcast() {
-	known, asOf := sim.records[0].Told()
+	known, asOf := sim.records[0].Snapshot()
 	sent := sim.now
 	for i := range sim.records {
 		sim.after(sim.messageDelay(), func() {
@@ -251,11 +251,11 @@
 				for j, rollout := range known {
 					rollout.Age += sim.now.Sub(sent)
 					if rollout.State == shelfshelf.RolloutMoving {
-						rollout.Moving += sim.now.Sub(sent)
+						rollout.MovingFor += sim.now.Sub(sent)
 					}
 					late[j] = rollout
 				}
-				sim.records[i].Heard(late, asOf, "test")
+				sim.records[i].Merge(late, asOf, "test")
 			}
 		})
 	}
@@ -267,7 +267,7 @@
 	if sim.random.Float64() < 0.5 {
 		sim.records[i] = sim.newRecord()
 		sim.incarnations[i]++
-		sim.records[i].Targets(sim.targets, 12)
+		sim.records[i].SetTargets(sim.targets, 12)
 		sim.after(sim.messageDelay(), func() { sim.learnRollout(i) })
 	} else {
 		sim.partitioned[i] = true
@@ -286,7 +286,7 @@
 	sim.after(time.Duration(sim.random.ExpFloat64()/rate*float64(time.Second)), sim.arrive)
 	record := sim.records[sim.random.IntN(len(sim.records))]
 	targets := sim.targets
-	if known, _ := record.Told(); len(known) == 0 {
+	if known, _ := record.Snapshot(); len(known) == 0 {
 		// The instance doesn't know the new targets yet either.
 		targets = targets[:sim.size.targets]
 	}
@@ -310,8 +310,8 @@
 }
 
 // run runs a request at a target.
-func (sim *simulation) run(record *Record, target shelfshelf.Target) {
-	record.Began(target)
+func (sim *simulation) run(record *Tracker, target shelfshelf.Target) {
+	record.RequestStarted(target)
 	age := sim.now.Sub(sim.began)
 	onNew := target.Version == "v2"
 	if age < sim.period {
@@ -354,14 +354,14 @@
 		} else {
 			sim.runningByVersion[record][0]--
 		}
-		record.Ended(target, shelfshelf.AttemptReport{
-			Route: shelfshelf.RouteName(fmt.Sprint("r", route)), Failed: failed, First: took / usualTime,
+		record.RequestEnded(target, shelfshelf.AttemptReport{
+			Route: shelfshelf.RouteName(fmt.Sprint("r", route)), Failed: failed, FirstAnswerRatio: took / usualTime,
 		})
 		if badNow && (failed || sim.slower > 0) {
 			if sim.failed++; sim.failed == 50 {
 				sim.fiftiethBadAt = sim.now
 			}
-			if active := sim.records[0].Under(); len(active) > 0 && active[0].State < shelfshelf.RolloutMoving {
+			if active := sim.records[0].Active(); len(active) > 0 && active[0].State < shelfshelf.RolloutMoving {
 				sim.badTrialAnswers++
 			}
 		}
--- a/rollout/tally.go
+++ b/rollout/tally.go
@@ -39,7 +39,7 @@
 
 // add adds the answers of one round. Times are left out during the move, because they change with the
 // load then.
-func (t *tally) add(round *interval, baseline *Cell) {
+func (t *tally) add(round *interval, baseline *ResultCounts) {
 	for i, c := range criteria {
 		if round.moving && c.histogram != nil {
 			continue
--- a/rollout/wire.go
+++ b/rollout/wire.go
@@ -32,7 +32,7 @@
 	size := 0
 	for _, r := range rollouts {
 		size += maxRolloutBytes + len(r.Pool) + len(r.Version)
-		for _, version := range r.Barred {
+		for _, version := range r.BarredVersions {
 			size += len(version) + 2
 		}
 	}
@@ -45,8 +45,8 @@
 	for i, r := range rollouts {
 		wire[i] = Wire{
 			Pool: string(r.Pool), Revision: r.Revision, Version: string(r.Version), Period: int64(r.Period),
-			Age: int64(r.Age), State: uint8(r.State), Moving: int64(r.Moving), Doubted: int64(r.Doubted), Halted: r.Halted, Stored: r.Stored,
-			Barred: convertNames[string](r.Barred),
+			Age: int64(r.Age), State: uint8(r.State), Moving: int64(r.MovingFor), Doubted: int64(r.DoubtedUntil), Halted: r.Halted, Stored: r.RowVersion,
+			Barred: convertNames[string](r.BarredVersions),
 		}
 	}
 	return wire
@@ -62,8 +62,8 @@
 		rollouts[i] = shelfshelf.Rollout{
 			Pool: shelfshelf.PoolName(w.Pool), Revision: w.Revision, Version: shelfshelf.TargetVersion(w.Version),
 			Period: time.Duration(w.Period), Age: time.Duration(w.Age), State: shelfshelf.RolloutState(w.State),
-			Moving: time.Duration(w.Moving), Doubted: time.Duration(w.Doubted), Halted: w.Halted, Stored: w.Stored,
-			Barred: convertNames[shelfshelf.TargetVersion](w.Barred),
+			MovingFor: time.Duration(w.Moving), DoubtedUntil: time.Duration(w.Doubted), Halted: w.Halted, RowVersion: w.Stored,
+			BarredVersions: convertNames[shelfshelf.TargetVersion](w.Barred),
 		}
 	}
 	return rollouts
--- a/schedule/cost_test.go
+++ b/schedule/cost_test.go
@@ -37,7 +37,7 @@
 		one.Customer = shelfshelf.CustomerName(fmt.Sprintf("c%d", serial%5))
 		for depth := range 12 {
 			hash := shelfshelf.BlockHash(serial%(engines*4)*100 + depth)
-			one.Prefix = append(one.Prefix, shelfshelf.PrefixMark{Tokens: 64 * (depth + 1), Hash: hash})
+			one.Prefix = append(one.Prefix, shelfshelf.PromptPrefix{Tokens: 64 * (depth + 1), Hash: hash})
 		}
 		asks[serial] = one
 	}
--- a/schedule/policies.go
+++ b/schedule/policies.go
@@ -18,7 +18,7 @@
 // Truth is what only a simulation knows: the state of the engines as it is.
 type Truth interface {
 	// CachedTokens returns how much of a prompt the engine holds, in tokens.
-	CachedTokens(target shelfshelf.TargetName, prefix []shelfshelf.PrefixMark) int
+	CachedTokens(target shelfshelf.TargetName, prefix []shelfshelf.PromptPrefix) int
 	// Slowdown returns how many times slower than declared an engine runs.
 	Slowdown(target shelfshelf.TargetName) float64
 }
--- a/schedule/pool_test.go
+++ b/schedule/pool_test.go
@@ -102,7 +102,7 @@
 		Deadline:     m.now.Add(time.Duration(rapid.IntRange(1, 60).Draw(t, "deadline")) * time.Second),
 	}
 	mark := shelfshelf.BlockHash(rapid.IntRange(1, 4).Draw(t, "document"))
-	ask.Prefix = []shelfshelf.PrefixMark{{Tokens: min(ask.PromptTokens, 2048), Hash: mark}}
+	ask.Prefix = []shelfshelf.PromptPrefix{{Tokens: min(ask.PromptTokens, 2048), Hash: mark}}
 	if rapid.Bool().Draw(t, "avoids") {
 		ask.Avoid = []shelfshelf.TargetName{"e0"}
 	}
@@ -270,7 +270,7 @@
 	Convey("A request is sent to the engine that holds its prompt", t, func() {
 		pool := newPool(engineNamed("e1", 4), engineNamed("e2", 4))
 		first := ask("a", 0, now, 4096, time.Minute)
-		first.Prefix = []shelfshelf.PrefixMark{{Tokens: 4096, Hash: 7}}
+		first.Prefix = []shelfshelf.PromptPrefix{{Tokens: 4096, Hash: 7}}
 		pool.Ask(now, first)
 		granted := pool.Decide(now)
 		So(granted, ShouldHaveLength, 1)
--- a/schedule/prefix.go
+++ b/schedule/prefix.go
@@ -52,7 +52,7 @@
 }
 
 // cachedTokens returns how much of the prompt the engine is thought to hold.
-func (v *prefixView) cachedTokens(prefix []shelfshelf.PrefixMark) int {
+func (v *prefixView) cachedTokens(prefix []shelfshelf.PromptPrefix) int {
 	for i := len(prefix) - 1; i >= 0; i-- {
 		if _, held := v.blocks[prefix[i].Hash]; held {
 			return prefix[i].Tokens
@@ -74,7 +74,7 @@
 
 // use records that the engine has read, or is about to read, the prompt. The
 // end of a prompt is dropped before its beginning, as engines do.
-func (x *prefixIndex) use(now time.Time, engine *engineState, prefix []shelfshelf.PrefixMark) {
+func (x *prefixIndex) use(now time.Time, engine *engineState, prefix []shelfshelf.PromptPrefix) {
 	view := engine.view
 	for i := len(prefix) - 1; i >= 0; i-- {
 		block := x.block(engine, prefix[i].Hash)
@@ -139,7 +139,7 @@
 
 // mend corrects the view by how much of a prompt the engine really held when it
 // began to read it; now it holds the prompt.
-func (x *prefixIndex) mend(now time.Time, engine *engineState, prefix []shelfshelf.PrefixMark, found int) {
+func (x *prefixIndex) mend(now time.Time, engine *engineState, prefix []shelfshelf.PromptPrefix, found int) {
 	for _, mark := range prefix {
 		if block := engine.view.blocks[mark.Hash]; block != nil && mark.Tokens > found {
 			x.drop(engine, block)
--- a/status.go
+++ b/status.go
@@ -21,34 +21,34 @@
 	// list.
 	TargetsVersion uint64
 	TargetsAge     time.Duration
-	// SourceLost is set if the sender's reads of the platform's store fail.
-	SourceLost bool
-	// Settled is set if the sender has been running for a whole quota window. Recalled is set if it has
+	// StoreUnreachable is set if the sender's reads of the platform's store fail.
+	StoreUnreachable bool
+	// WindowObserved is set if the sender has been running for a whole quota window. Recalled is set if it has
 	// learnt the customers' usage from before it started, as far as any instance knows it.
-	Settled  bool
-	Recalled bool
+	WindowObserved  bool
+	UsageRestored bool
 	// Loads is the load that the sender has in flight at targets. Uses is the usage of customers at the
 	// sender.
 	Loads []TargetLoad
-	Uses  []CustomerUse
-	// EndedUses is the usage of customers at instances of the data centre that have ended or are silent.
+	Usage  []CustomerUsage
+	// EndedUsage is the usage of customers at instances of the data centre that have ended or are silent.
 	// A restarted instance learns from it the usage at itself before the restart.
-	EndedUses []CustomerUse
+	EndedUsage []CustomerUsage
 	// Speeds are the observed speeds of targets since the sender's last status.
 	Speeds []TargetSpeed
 	// Crashes are the crashes of targets that the sender has recently learnt of. CrashesHash is equal
 	// for all instances that know the same crashes.
 	Crashes     []Crash
 	CrashesHash uint64
-	// Words are the announcements of targets that the sender knows. If there are many, each status
+	// Announcements are the announcements of targets that the sender knows. If there are many, each status
 	// contains a part of them.
-	Words []TargetWord
+	Announcements []TargetAnnouncement
 	// Rollouts are the rollouts that the sender knows. They include all that had been ordered as of the
 	// store's position OrdersAsOf.
 	Rollouts   []Rollout
-	OrdersAsOf uint64
-	// Evacuated holds the data centres that are evacuated, as far as the sender knows.
-	Evacuated Evacuated
+	RolloutsAsOf uint64
+	// Evacuation holds the data centres that are evacuated, as far as the sender knows.
+	Evacuation EvacuationState
 	// Digests are the digests of other data centres that the sender has received since its last status.
 	Digests []Digest
 }
@@ -60,12 +60,12 @@
 	Age time.Duration
 	// Instances is the number of instances that the data centre's own instances see.
 	Instances int
-	// Settled is set if the digest's sender has been running for a whole quota window.
-	Settled bool
+	// WindowObserved is set if the digest's sender has been running for a whole quota window.
+	WindowObserved bool
 	// Members are the instances of the data centre that may own targets.
 	Members []Member
 	Loads   []TargetLoad
-	Uses    []CustomerUse
+	Usage    []CustomerUsage
 	// Speeds are the means of what the data centre has observed recently.
 	Speeds []TargetSpeed
 }
@@ -102,26 +102,26 @@
 // CustomerKey is a hash of a customer's name, used in messages for its size; see KeyOfCustomer.
 type CustomerKey uint32
 
-// CustomerUse is the usage of a customer within the window of its limit, in the unit of the limit.
-type CustomerUse struct {
+// CustomerUsage is the usage of a customer within the window of its limit, in the unit of the limit.
+type CustomerUsage struct {
 	Customer CustomerKey
 	Amount   float64
 }
 
-// UseParts is the number of time buckets into which saved usage divides the window.
-const UseParts = 8
+// UsageBuckets is the number of time buckets into which saved usage divides the window.
+const UsageBuckets = 8
 
-// SavedUse is the usage of a customer at the instances of a data centre, in the unit of its limit, by
+// SavedUsage is the usage of a customer at the instances of a data centre, in the unit of its limit, by
 // equal time buckets of the window; the newest bucket comes first.
-type SavedUse struct {
+type SavedUsage struct {
 	DataCentre DataCentre
 	Customer   CustomerKey
-	Parts      [UseParts]float64
+	Buckets      [UsageBuckets]float64
 }
 
-// SavedUses is the usage of customers at all instances at the time of saving.
-type SavedUses struct {
-	Uses []SavedUse
+// SavedUsages is the usage of customers at all instances at the time of saving.
+type SavedUsages struct {
+	Usage []SavedUsage
 	// Age is the time since it was saved.
 	Age time.Duration
 }
--- a/store.go
+++ b/store.go
@@ -72,10 +72,10 @@
 	LeavingTargets(ctx context.Context) ([]TargetName, error)
 }
 
-// UseStore persists the usage of customers, for instances that start after all others have ended.
-type UseStore interface {
-	// SaveUses replaces the stored usage.
-	SaveUses(ctx context.Context, uses []SavedUse) error
-	// LoadUses returns the stored usage; the error is ErrNotFound if none is stored.
-	LoadUses(ctx context.Context) (SavedUses, error)
+// UsageStore persists the usage of customers, for instances that start after all others have ended.
+type UsageStore interface {
+	// SaveUsage replaces the stored usage.
+	SaveUsage(ctx context.Context, uses []SavedUsage) error
+	// LoadUsage returns the stored usage; the error is ErrNotFound if none is stored.
+	LoadUsage(ctx context.Context) (SavedUsages, error)
 }
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -47,23 +47,23 @@
 // Request is a request to a target.
 type Request struct {
 	ID shelfshelf.RequestID
-	// To is the target that receives the request.
-	To     shelfshelf.Target
+	// Target is the target that receives the request.
+	Target     shelfshelf.Target
 	Method string
-	// Target is the request target: path and query exactly as received from the caller.
-	Target string
+	// RequestURI is the request target: path and query exactly as received from the caller.
+	RequestURI string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Fresh requires a new connection, for example after a failure on a reused one.
-	Fresh bool
+	// NewConnection requires a new connection, for example after a failure on a reused one.
+	NewConnection bool
 }
 
 // Response is a response whose head has been read and whose body is still to be read.
 type Response struct {
 	Status int
 	Header http.Header
-	Answer shelfshelf.Answer
+	Answer shelfshelf.ResponseMetadata
 	// Length is the length of the body in bytes, or -1 if the head does not contain it.
 	Length int64
 
@@ -82,10 +82,10 @@
 	Codec shelfshelf.CallCodec
 	// Dial opens a connection. If nil, the operating system's dialer is used.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Answered, if set, is called with the decoded head of each response and the time at which the latest
+	// OnAnswer, if set, is called with the decoded head of each response and the time at which the latest
 	// request on its connection was sent. It is also called for late responses to other requests, if they
 	// contain an announcement of the target.
-	Answered func(target shelfshelf.Target, answer shelfshelf.Answer, sent time.Time)
+	OnAnswer func(target shelfshelf.Target, answer shelfshelf.ResponseMetadata, sent time.Time)
 
 	mu   sync.Mutex
 	idle map[string][]*conn
@@ -93,8 +93,8 @@
 	opened uint64
 }
 
-// Opened returns how many connections have been opened.
-func (c *Client) Opened() uint64 {
+// ConnectionsOpened returns how many connections have been opened.
+func (c *Client) ConnectionsOpened() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.opened
@@ -103,7 +103,7 @@
 // Send sends a request to an address and returns once the head of the response has been read. The error
 // is ErrNotRun if no connection could be opened, so that nothing was sent, and ErrBroken otherwise.
 func (c *Client) Send(ctx context.Context, address string, request Request) (*Response, error) {
-	connection, err := c.acquire(ctx, address, request.Fresh)
+	connection, err := c.acquire(ctx, address, request.NewConnection)
 	if err != nil {
 		return nil, eris.Wrap(shelfshelf.ErrNotRun, err.Error())
 	}
@@ -121,8 +121,8 @@
 	return response, nil
 }
 
-// Reach opens a connection to an address and adds it to the idle connections for the next request.
-func (c *Client) Reach(ctx context.Context, address string) error {
+// Preconnect opens a connection to an address and adds it to the idle connections for the next request.
+func (c *Client) Preconnect(ctx context.Context, address string) error {
 	connection, err := c.acquire(ctx, address, true)
 	if err != nil {
 		return err
@@ -230,10 +230,10 @@
 }
 
 // reportAnswer decodes the head of a response and passes it to Answered.
-func (c *Client) reportAnswer(connection *conn, request Request, response *http.Response) shelfshelf.Answer {
+func (c *Client) reportAnswer(connection *conn, request Request, response *http.Response) shelfshelf.ResponseMetadata {
 	answer := c.Codec.Answer(response.StatusCode, response.Header)
-	if c.Answered != nil && (answer.ID == request.ID || answer.Announces()) {
-		c.Answered(request.To, answer, connection.sentAt)
+	if c.OnAnswer != nil && (answer.ID == request.ID || answer.HasAnnouncement()) {
+		c.OnAnswer(request.Target, answer, connection.sentAt)
 	}
 	return answer
 }
@@ -255,7 +255,7 @@
 
 // encodeRequest encodes the request for the wire, with a Content-Length if it has a body.
 func encodeRequest(request Request) ([]byte, error) {
-	target, err := url.ParseRequestURI(request.Target)
+	target, err := url.ParseRequestURI(request.RequestURI)
 	if err != nil {
 		return nil, err
 	}
@@ -265,7 +265,7 @@
 		Host:   request.Host,
 		Header: request.Header,
 	}
-	outgoing.URL.Opaque = opaquePath(request.Target)
+	outgoing.URL.Opaque = opaquePath(request.RequestURI)
 	if len(request.Body) > 0 {
 		outgoing.Body = io.NopCloser(bytes.NewReader(request.Body))
 		outgoing.ContentLength = int64(len(request.Body))
--- a/upstream/client_test.go
+++ b/upstream/client_test.go
@@ -90,7 +90,7 @@
 func send(ctx context.Context, client *upstream.Client, address, id string) (string, error) {
 	header := http.Header{"X-Shelfshelf-Request-Id": []string{id}}
 	response, err := client.Send(ctx, address, upstream.Request{
-		ID: shelfshelf.RequestID(id), Method: http.MethodPost, Target: "/a/b?c=d", Host: "h.example", Header: header, Body: []byte("body"),
+		ID: shelfshelf.RequestID(id), Method: http.MethodPost, RequestURI: "/a/b?c=d", Host: "h.example", Header: header, Body: []byte("body"),
 	})
 	if err != nil {
 		return "", err
@@ -140,8 +140,8 @@
 			t.Fatal(body, err)
 		}
 	}
-	if client.Opened() != 1 {
-		t.Errorf("%d connections", client.Opened())
+	if client.ConnectionsOpened() != 1 {
+		t.Errorf("%d connections", client.ConnectionsOpened())
 	}
 }
 
@@ -156,8 +156,8 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	if client.Opened() != 3 {
-		t.Errorf("%d connections", client.Opened())
+	if client.ConnectionsOpened() != 3 {
+		t.Errorf("%d connections", client.ConnectionsOpened())
 	}
 }
 
@@ -177,8 +177,8 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	if client.Opened() != 2 {
-		t.Errorf("%d connections", client.Opened())
+	if client.ConnectionsOpened() != 2 {
+		t.Errorf("%d connections", client.ConnectionsOpened())
 	}
 }
 
@@ -228,8 +228,8 @@
 			t.Fatal(body, err)
 		}
 	}
-	if client.Opened() != 2 {
-		t.Errorf("%d connections", client.Opened())
+	if client.ConnectionsOpened() != 2 {
+		t.Errorf("%d connections", client.ConnectionsOpened())
 	}
 }
 
--- a/upstream/late_response_test.go
+++ b/upstream/late_response_test.go
@@ -15,10 +15,10 @@
 )
 
 // newReportingClient returns a client and a channel that receives each decoded answer.
-func newReportingClient() (*upstream.Client, chan shelfshelf.Answer) {
-	answers := make(chan shelfshelf.Answer, 10)
+func newReportingClient() (*upstream.Client, chan shelfshelf.ResponseMetadata) {
+	answers := make(chan shelfshelf.ResponseMetadata, 10)
 	client := newClient()
-	client.Answered = func(_ shelfshelf.Target, answer shelfshelf.Answer, _ time.Time) { answers <- answer }
+	client.OnAnswer = func(_ shelfshelf.Target, answer shelfshelf.ResponseMetadata, _ time.Time) { answers <- answer }
 	return client, answers
 }
 
