--- a/announced/doc.go
+++ b/announced/doc.go
@@ -6,5 +6,5 @@
 // Every response that this instance reads is passed to the Record, whichever component sent the request.
 // Instances share all announcements except backoffs, in their statuses and in each slot request. A Gate
 // is a token bucket that limits the rate of sends. The owner of a target's slots keeps one for each
-// target with a limit (see package places).
+// target with a limit (see package slots).
 package announced
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -39,8 +39,8 @@
 	// Deadline is when the caller gives up; zero if unknown.
 	Deadline time.Time
 	// LatencyGoal is the time within which the first token, or a plain answer, is due.
-	LatencyGoal   time.Duration
-	Prompt []shelfshelf.PromptPart
+	LatencyGoal time.Duration
+	Prompt      []shelfshelf.PromptPart
 	// PromptTokens and OutputTokens are the expected sizes, zero for plain services.
 	PromptTokens int
 	OutputTokens int
--- a/balance/doc.go
+++ b/balance/doc.go
@@ -9,7 +9,7 @@
 // in queues of the instances and not at the targets: a target serves requests in order of arrival,
 // while these queues are ordered by priority.
 //
-// The slots of an engine are granted by its owner, one instance for all (package places). A request
+// The slots of an engine are granted by its owner, one instance for all (package slots). A request
 // asks the owners of the best engines and waits in their queues. The same holds for plain services
 // that have announced a limit or may turn cold ("owner-only" targets). The slots of other plain
 // services, and those of engines whose owners don't answer, are granted by each instance by its own
--- a/balance/lease.go
+++ b/balance/lease.go
@@ -23,7 +23,7 @@
 	InFlight int
 	// OwnersAsked is how many owners were asked for a slot. Alone says that no owner granted the slot:
 	// this instance took it by its own view of the load.
-	OwnersAsked int
+	OwnersAsked  int
 	WithoutOwner bool
 
 	balancer *Balancer
@@ -53,9 +53,9 @@
 	Events int
 	// Unsent says that the request did not reach the target, NotRun that the target reported not to
 	// have run it, and Left that the caller disconnected first.
-	Unsent bool
-	NotRun bool
-	CallerDisconnected   bool
+	Unsent             bool
+	NotRun             bool
+	CallerDisconnected bool
 }
 
 // FirstToken notes that the first token has arrived, so that the target has prefilled the prompt.
--- a/balance/owners.go
+++ b/balance/owners.go
@@ -117,15 +117,15 @@
 	})
 	if best != nil {
 		a.nextRequest = shelfshelf.SlotRequest{
-			Target:     best.key,
-			DataCentre: best.target.DataCentre,
-			Started:      a.need.Started,
-			Rank:       a.need.Rank,
-			Tier:       a.need.Tier,
-			HoldTime:       p.expectHoldTime(best, a.need, b.uncachedTokens(best, a.need, now), now),
-			MaxWait:       max(a.need.WaitUntil.Sub(now), 0),
-			Announcement:       best.announcement,
-			PrimaryOwnerOnly:     best.primaryOwnerOnly(now),
+			Target:           best.key,
+			DataCentre:       best.target.DataCentre,
+			Started:          a.need.Started,
+			Rank:             a.need.Rank,
+			Tier:             a.need.Tier,
+			HoldTime:         p.expectHoldTime(best, a.need, b.uncachedTokens(best, a.need, now), now),
+			MaxWait:          max(a.need.WaitUntil.Sub(now), 0),
+			Announcement:     best.announcement,
+			PrimaryOwnerOnly: best.primaryOwnerOnly(now),
 		}
 	}
 	return best
--- a/bundle/codec.go
+++ b/bundle/codec.go
@@ -169,10 +169,10 @@
 
 func (w *wireCustomer) domain(ranks map[string]shelfshelf.Tier) shelfshelf.Customer {
 	customer := shelfshelf.Customer{
-		Name:   shelfshelf.CustomerName(w.Name),
-		Weight: orDefault(w.Weight, defaultWeight),
-		Limits: w.Limits.domain(),
-		Tiers:  make(map[shelfshelf.RouteName]shelfshelf.Tier, len(w.Tiers)),
+		Name:            shelfshelf.CustomerName(w.Name),
+		Weight:          orDefault(w.Weight, defaultWeight),
+		Limits:          w.Limits.domain(),
+		Tiers:           make(map[shelfshelf.RouteName]shelfshelf.Tier, len(w.Tiers)),
 		LegacyAddresses: make(map[shelfshelf.RouteName]string, len(w.Legacy)),
 	}
 	for _, hash := range w.TokenHashes {
@@ -200,12 +200,12 @@
 		Path:            w.Path,
 		Repeatable:      w.Repeatable == nil || *w.Repeatable,
 		Deadline:        duration(w.Deadline),
-		FirstTokenGoal:      duration(w.FirstToken),
+		FirstTokenGoal:  duration(w.FirstToken),
 		ObjectiveShare:  orDefault(w.ObjectiveShare, defaultObjectiveShare),
 		MaxPromptTokens: orDefault(w.MaxPromptTokens, defaultMaxPromptTokens),
 		MaxOutputTokens: orDefault(w.MaxOutputTokens, defaultMaxOutputTokens),
 		Limits:          w.Limits.domain(),
-		LegacyAddress:          w.Legacy,
+		LegacyAddress:   w.Legacy,
 	}
 	if w.Kind == kindCompletion {
 		route.Kind = shelfshelf.RouteCompletion
@@ -215,19 +215,19 @@
 
 func (w *wireTarget) domain(kinds map[string]shelfshelf.TargetKind) shelfshelf.Target {
 	return shelfshelf.Target{
-		Name:         shelfshelf.TargetName(w.Name),
-		Kind:         kinds[w.Pool],
-		Pool:         shelfshelf.PoolName(w.Pool),
-		DataCentre:   shelfshelf.DataCentre(w.DataCentre),
-		Address:      w.Address,
-		Leaving:      w.Leaving,
-		Slots:        w.Slots,
-		PrefillRate:  w.PrefillRate,
-		StepTime:     duration(w.StepTime),
-		CacheTokens:  w.CacheTokens,
-		HardwareGeneration:   w.Generation,
+		Name:               shelfshelf.TargetName(w.Name),
+		Kind:               kinds[w.Pool],
+		Pool:               shelfshelf.PoolName(w.Pool),
+		DataCentre:         shelfshelf.DataCentre(w.DataCentre),
+		Address:            w.Address,
+		Leaving:            w.Leaving,
+		Slots:              w.Slots,
+		PrefillRate:        w.PrefillRate,
+		StepTime:           duration(w.StepTime),
+		CacheTokens:        w.CacheTokens,
+		HardwareGeneration: w.Generation,
 		ChecksFencingToken: w.ChecksFences,
-		Shared:       w.Shared,
+		Shared:             w.Shared,
 	}
 }
 
--- a/call.go
+++ b/call.go
@@ -29,7 +29,7 @@
 	// are known; otherwise both are zero.
 	PromptTokens    int
 	MaxOutputTokens int
-	HasTokenCounts         bool
+	HasTokenCounts  bool
 	// OutputHint is the caller's estimate of the response length in tokens; 0 if there is none.
 	OutputHint int
 	// Prompt lists the parts of the prompt in order.
@@ -73,15 +73,15 @@
 	Slowdown float64
 	// Limit is the announced rate limit. LimitUnread is the text of a limit header that could not be
 	// parsed, or else empty.
-	Limit       RateLimit
+	Limit        RateLimit
 	InvalidLimit string
 	// Leaving is set if the target announces that it is shutting down and wants no more requests.
 	// LeavingUnread is the text of the header if it could not be parsed.
-	Leaving       bool
+	Leaving        bool
 	InvalidLeaving string
 	// RetryAfter is the backoff that a target asks of this instance when it rejects a request; 0 if there is
 	// none. RestUnread is the text of the header if it could not be parsed.
-	RetryAfter       time.Duration
+	RetryAfter        time.Duration
 	InvalidRetryAfter string
 }
 
--- a/catalog.go
+++ b/catalog.go
@@ -56,7 +56,7 @@
 // TargetsUpdate is the result of one read of the list of targets.
 type TargetsUpdate struct {
 	// Full is set if Changed is the full list, not only the changes.
-	Full   bool
+	Full    bool
 	Changed []Target
 	Removed []TargetName
 	// Invalid are the entries that don't decode to a usable target.
--- a/catalog/changes.go
+++ b/catalog/changes.go
@@ -21,7 +21,7 @@
 type Delta struct {
 	// Snapshot holds the changed targets, or all targets if Whole is set.
 	Snapshot
-	Full   bool
+	Full    bool
 	Since   uint64
 	Removed []shelfshelf.TargetName
 }
--- a/evacuation.go
+++ b/evacuation.go
@@ -12,9 +12,9 @@
 // EvacuationUpdate is the part of one read of the store that concerns evacuations.
 type EvacuationUpdate struct {
 	// Full is set if Begun is the full list of evacuated data centres, not only the changes.
-	Full bool
+	Full    bool
 	Started []DataCentre
-	Ended []DataCentre
+	Ended   []DataCentre
 	// AsOf is the position of the store up to which the update holds.
 	AsOf uint64
 }
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -211,18 +211,18 @@
 	}
 	maxQueueTime := time.Duration(queueTimeShare * float64(c.latencyGoal()))
 	need := balance.Need{
-		ID:           c.call.ID,
-		Pool:         c.pool,
-		Tier:         c.route.Tier,
-		Arrived:      c.arrived,
-		WaitUntil:    c.arrived.Add(maxQueueTime),
-		Deadline:     c.deadline,
-		LatencyGoal:         c.latencyGoal(),
-		Prompt:       c.call.Prompt,
-		PromptTokens: c.call.PromptTokens,
-		OutputTokens: output,
-		ExcludedTargets:        c.avoidTargets,
-		Route:        c.route.Name,
+		ID:              c.call.ID,
+		Pool:            c.pool,
+		Tier:            c.route.Tier,
+		Arrived:         c.arrived,
+		WaitUntil:       c.arrived.Add(maxQueueTime),
+		Deadline:        c.deadline,
+		LatencyGoal:     c.latencyGoal(),
+		Prompt:          c.call.Prompt,
+		PromptTokens:    c.call.PromptTokens,
+		OutputTokens:    output,
+		ExcludedTargets: c.avoidTargets,
+		Route:           c.route.Name,
 	}
 	if c.customer != nil {
 		need.Rank = c.customer.Rank
@@ -334,7 +334,7 @@
 func (c *request) send(ctx context.Context, lease *balance.Lease, lastEventID string) (*upstream.Response, error) {
 	attempt := shelfshelf.Attempt{
 		Target:      lease.Target,
-		Timeout:        c.timeLeft(),
+		Timeout:     c.timeLeft(),
 		LastEventID: lastEventID,
 	}
 	if c.customer != nil {
@@ -344,14 +344,14 @@
 		c.charge = c.server.Quota.Recharge(c.charge)
 	}
 	response, err := c.server.Upstream.Send(ctx, lease.Target.Address, upstream.Request{
-		ID:     c.call.ID,
-		Target:     lease.Target,
-		Method: c.incoming.Method,
-		RequestURI: c.incoming.RequestURI,
-		Host:   c.incoming.Host,
-		Header: c.server.Codec.AttemptHeader(c.incoming.Header, attempt),
-		Body:   c.body,
-		NewConnection:  c.sentAttempts > 0,
+		ID:            c.call.ID,
+		Target:        lease.Target,
+		Method:        c.incoming.Method,
+		RequestURI:    c.incoming.RequestURI,
+		Host:          c.incoming.Host,
+		Header:        c.server.Codec.AttemptHeader(c.incoming.Header, attempt),
+		Body:          c.body,
+		NewConnection: c.sentAttempts > 0,
 	})
 	if err == nil {
 		c.lastAnswer = response.Answer
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -81,7 +81,7 @@
 	FetchInstances func(ctx context.Context, address string) ([]shelfshelf.Instance, error)
 	// HandleDatagram handles datagrams of other protocols on the same socket, recognized by their first byte,
 	// OtherMarker. If it is nil, there are none.
-	HandleDatagram       func(content []byte, from netip.AddrPort)
+	HandleDatagram func(content []byte, from netip.AddrPort)
 	DatagramMarker byte
 
 	startedAt   time.Time
--- a/node/build.go
+++ b/node/build.go
@@ -38,22 +38,22 @@
 	}
 	n.words = &announced.Tracker{Clock: n.Clock, Log: n.Log.WithPrefix("announced"), OnChange: n.wordChanged}
 	n.balancer = &balance.Balancer{
-		Clock:      n.Clock,
-		DataCentre: n.Settings.DataCentre,
-		Regions:    n.Settings.Regions,
-		Self:       n.Settings.Instance,
-		Fleet:      n,
-		Rollouts:   n.rollouts,
-		Announcements:  n.words,
+		Clock:         n.Clock,
+		DataCentre:    n.Settings.DataCentre,
+		Regions:       n.Settings.Regions,
+		Self:          n.Settings.Instance,
+		Fleet:         n,
+		Rollouts:      n.rollouts,
+		Announcements: n.words,
 	}
 	n.rollouts.Running = n.balancer.InFlightByVersion
 	n.quota = &quota.Ledger{
-		Clock:      n.Clock,
-		DataCentre: n.Settings.DataCentre,
-		Window:     n.Settings.Quota.Window,
-		Slack:      n.Settings.Quota.Slack,
-		Instances:  n.census,
-		ReportDelay:      n.PropagationDelay,
+		Clock:       n.Clock,
+		DataCentre:  n.Settings.DataCentre,
+		Window:      n.Settings.Quota.Window,
+		Slack:       n.Settings.Quota.Slack,
+		Instances:   n.census,
+		ReportDelay: n.PropagationDelay,
 	}
 	n.quota.Start()
 	n.keeper = &quota.UsageSaver{
@@ -120,13 +120,13 @@
 			State:      shelfshelf.InstanceLive,
 			LinkMbps:   n.Settings.LinkMbps,
 		},
-		Incarnation: uint64(n.Clock.Now().UnixNano()),
-		FirstStart:  n.Settings.FirstStart,
-		Conn:        datagrams,
-		Handler:     n,
-		Directory:   n.Platform.Directory,
-		DataCentres:     slices.Sorted(maps.Keys(n.Settings.Regions)),
-		FetchInstances:       n.relay.FetchInstances,
+		Incarnation:    uint64(n.Clock.Now().UnixNano()),
+		FirstStart:     n.Settings.FirstStart,
+		Conn:           datagrams,
+		Handler:        n,
+		Directory:      n.Platform.Directory,
+		DataCentres:    slices.Sorted(maps.Keys(n.Settings.Regions)),
+		FetchInstances: n.relay.FetchInstances,
 	}
 	n.relay.Instances = n.gossip.Instances
 	n.gossip.Init()
@@ -150,8 +150,8 @@
 			Limits:    n.Settings.Retry,
 			Instances: n.instances,
 		},
-		Metrics: n.metrics,
-		Ready:     n.fit,
+		Metrics:          n.metrics,
+		Ready:            n.fit,
 		MaxBufferedBytes: int64(heldShare * float64(n.Settings.MemoryMB<<20)),
 	}
 	n.metrics.Gauge("shelf_held_bytes", func() float64 { return float64(n.gateway.BufferedBytes()) })
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -35,14 +35,14 @@
 	now := n.Clock.Now()
 	status := shelfshelf.Status{
 		StoreUnreachable: n.catalog.SourceLost(),
-		WindowObserved:    n.quota.WindowObserved(),
-		UsageRestored:   n.quota.Restored(),
-		Loads:      n.balancer.LocalLoads(),
-		Usage:       n.quota.LocalUsage(),
-		EndedUsage:  n.quota.EndedUsage(),
+		WindowObserved:   n.quota.WindowObserved(),
+		UsageRestored:    n.quota.Restored(),
+		Loads:            n.balancer.LocalLoads(),
+		Usage:            n.quota.LocalUsage(),
+		EndedUsage:       n.quota.EndedUsage(),
 		// Those that know the same of targets that ended say so with one number.
-		CrashesHash: n.crashes.Hash(),
-		Announcements:       n.words.ForStatus(),
+		CrashesHash:   n.crashes.Hash(),
+		Announcements: n.words.ForStatus(),
 	}
 	status.Rollouts, status.RolloutsAsOf = n.rollouts.Snapshot()
 	status.Evacuation = n.evacuations.Snapshot()
@@ -72,9 +72,9 @@
 func (n *Node) Digest() shelfshelf.Digest {
 	return shelfshelf.Digest{
 		WindowObserved: n.quota.WindowObserved(),
-		Loads:   n.balancer.DataCentreLoads(),
-		Usage:    n.quota.DataCentreUsage(),
-		Speeds:  n.balancer.Speeds(),
+		Loads:          n.balancer.DataCentreLoads(),
+		Usage:          n.quota.DataCentreUsage(),
+		Speeds:         n.balancer.Speeds(),
 	}
 }
 
--- a/node/node.go
+++ b/node/node.go
@@ -20,11 +20,11 @@
 	"github.com/shelfshelf/shelfshelf/evacuation"
 	"github.com/shelfshelf/shelfshelf/gateway"
 	"github.com/shelfshelf/shelfshelf/gossip"
-	"github.com/shelfshelf/shelfshelf/places"
 	"github.com/shelfshelf/shelfshelf/quota"
 	"github.com/shelfshelf/shelfshelf/relay"
 	"github.com/shelfshelf/shelfshelf/rollout"
 	"github.com/shelfshelf/shelfshelf/settings"
+	"github.com/shelfshelf/shelfshelf/slots"
 	"github.com/shelfshelf/shelfshelf/upstream"
 )
 
@@ -92,7 +92,7 @@
 
 	catalog  *catalog.Catalog
 	balancer *balance.Balancer
-	places   *places.Client
+	places   *slots.Client
 	// words is what targets have said of themselves.
 	words *announced.Tracker
 	// evacuations are the data centres whose targets are to get nothing new.
--- a/node/places.go
+++ b/node/places.go
@@ -9,7 +9,7 @@
 	"github.com/shelfshelf/shelfshelf"
 	"github.com/shelfshelf/shelfshelf/announced"
 	"github.com/shelfshelf/shelfshelf/balance"
-	"github.com/shelfshelf/shelfshelf/places"
+	"github.com/shelfshelf/shelfshelf/slots"
 )
 
 // buildPlaces makes the part that asks the owners of engines for places and owns
@@ -19,25 +19,25 @@
 	if err != nil {
 		return eris.Wrap(err, "read the address for instances")
 	}
-	n.places = &places.Client{
+	n.places = &slots.Client{
 		Clock:      n.Clock,
 		Log:        n.Log.WithPrefix("places"),
-		Self:       places.Holder{Address: address, Incarnation: n.gossip.Incarnation},
+		Self:       slots.Holder{Address: address, Incarnation: n.gossip.Incarnation},
 		Candidates: n.gossip.Members, FallbackCandidates: n.gossip.SubstituteMembers,
 		Send: n.gossip.SendDatagram,
 	}
 	n.places.OnAnnouncement = func(told shelfshelf.TargetAnnouncement) { n.words.Merge([]shelfshelf.TargetAnnouncement{told}) }
-	n.places.Table = &places.SlotTable{Clock: n.Clock, Capacity: n.capacity, RateLimit: n.pacing, SendGrant: n.places.SendGrant}
+	n.places.Table = &slots.SlotTable{Clock: n.Clock, Capacity: n.capacity, RateLimit: n.pacing, SendGrant: n.places.SendGrant}
 	n.gossip.HandleDatagram = n.places.Receive
-	n.gossip.DatagramMarker = places.Marker
+	n.gossip.DatagramMarker = slots.Marker
 	n.balancer.SlotOwners = n.places
 	return nil
 }
 
 // capacity returns what is known here of an engine.
-func (n *Node) capacity(key shelfshelf.TargetKey) (places.Capacity, bool) {
-	slots, told, known := n.balancer.Capacity(key)
-	return places.Capacity{Slots: slots, Reported: told}, known
+func (n *Node) capacity(key shelfshelf.TargetKey) (slots.Capacity, bool) {
+	count, told, known := n.balancer.Capacity(key)
+	return slots.Capacity{Slots: count, Reported: told}, known
 }
 
 // leastPace is how many requests a second a target with a limit gets at least, also where it
@@ -65,10 +65,10 @@
 // or may be cold. Only its owner gives any, unless the target is thought to be warm; and as much of
 // the whole as it hears of its data centre, so that the parts of one that is cut, each with an
 // owner, don't give more together.
-func (n *Node) pacing(key shelfshelf.TargetKey) places.RateLimit {
+func (n *Node) pacing(key shelfshelf.TargetKey) slots.RateLimit {
 	limit := n.words.Latest(key).Limit
 	cold := n.balancer.ColdState(key)
-	pace := places.RateLimit{Limited: limit.Set || cold.RequestRate > 0}
+	pace := slots.RateLimit{Limited: limit.Set || cold.RequestRate > 0}
 	if !pace.Limited {
 		return pace
 	}
--- a/node/rollout.go
+++ b/node/rollout.go
@@ -10,7 +10,7 @@
 func (n *Node) buildRollouts() {
 	n.rolloutKeeper = &rollout.Controller{
 		Clock: n.Clock, Log: n.Log.WithPrefix("rollout"), Tracker: n.rollouts, Store: n.Platform.Rollouts,
-		Self:  rollout.InstanceRun{Instance: n.Settings.Instance, Incarnation: n.gossip.Incarnation},
+		Self:     rollout.InstanceRun{Instance: n.Settings.Instance, Incarnation: n.gossip.Incarnation},
 		IsLeader: n.leads, ShouldPoll: n.gossip.IsFirst, PeerAddresses: n.gossip.Addresses, FetchReport: n.relay.FetchVersions,
 	}
 	n.relay.VersionReport = n.rolloutKeeper.Report
--- a/quota/demand_test.go
+++ b/quota/demand_test.go
@@ -120,8 +120,8 @@
 	clock := clockwork.NewFakeClock()
 	l := &quota.Ledger{
 		Clock: clock, Window: window,
-		Instances: func() (int, int) { return 60, 60 },
-		ReportDelay:     func() time.Duration { return delay },
+		Instances:   func() (int, int) { return 60, 60 },
+		ReportDelay: func() time.Duration { return delay },
 	}
 	l.Start()
 	clock.Advance(window)
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -91,7 +91,7 @@
 	// that this instance has refused the customer lately, and so admits no more than its even share (or
 	// one single large request), whatever is expected.
 	ExpectedElsewhere float64
-	RecentlyRefused  bool
+	RecentlyRefused   bool
 	// Charge identifies the charge for Refund and Move. It is empty if nothing was charged.
 	Charge Charge
 }
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -46,8 +46,8 @@
 func (f *fleet) ledger(size int) *quota.Ledger {
 	l := &quota.Ledger{
 		Clock: f.clock, Window: window, Slack: slack,
-		Instances: func() (int, int) { return size, size },
-		ReportDelay:     func() time.Duration { return delay },
+		Instances:   func() (int, int) { return size, size },
+		ReportDelay: func() time.Duration { return delay },
 	}
 	l.Start()
 	return l
@@ -207,8 +207,8 @@
 	clock := clockwork.NewFakeClock()
 	l := &quota.Ledger{
 		Clock: clock, Window: window,
-		Instances: func() (int, int) { return 4, 1 },
-		ReportDelay:     func() time.Duration { return delay },
+		Instances:   func() (int, int) { return 4, 1 },
+		ReportDelay: func() time.Duration { return delay },
 	}
 	l.Start()
 	clock.Advance(window)
@@ -392,8 +392,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		l := &quota.Ledger{
 			Clock: clockwork.NewRealClock(), Window: window, Slack: slack,
-			Instances: func() (int, int) { return 1, 1 },
-			ReportDelay:     func() time.Duration { return delay },
+			Instances:   func() (int, int) { return 1, 1 },
+			ReportDelay: func() time.Duration { return delay },
 		}
 		l.Start()
 		time.Sleep(window)
@@ -448,8 +448,8 @@
 func (f *multiCentreFleet) start(id shelfshelf.InstanceID) *quota.Ledger {
 	l := &quota.Ledger{
 		Clock: f.clock, DataCentre: centreOf(id), Window: window,
-		Instances: func() (int, int) { return 4, 4 },
-		ReportDelay:     func() time.Duration { return delay },
+		Instances:   func() (int, int) { return 4, 4 },
+		ReportDelay: func() time.Duration { return delay },
 	}
 	l.Start()
 	f.ledgers[id] = l
--- a/homes.go
+++ b/regions.go
@@ -6,8 +6,8 @@
 // all.
 type RegionSet struct {
 	// Restricted is set if only Regions are allowed; Regions may then be empty, which allows none.
-	Restricted   bool
-	Regions []Region
+	Restricted bool
+	Regions    []Region
 }
 
 // Allows reports whether a request may be served in a region.
--- a/relay/wire.go
+++ b/relay/wire.go
@@ -167,11 +167,11 @@
 	}
 	delta := catalog.Delta{
 		Snapshot: catalog.Snapshot{
-			Version:   wire.Version,
-			ValidAt:        requestedAt.Add(-time.Duration(wire.Age)),
+			Version:       wire.Version,
+			ValidAt:       requestedAt.Add(-time.Duration(wire.Age)),
 			RetainedUntil: make(map[shelfshelf.TargetName]time.Time),
 		},
-		Full: wire.After == 0,
+		Full:  wire.After == 0,
 		Since: wire.After,
 	}
 	for _, name := range wire.Removed {
@@ -182,15 +182,15 @@
 			delta.RetainedUntil[shelfshelf.TargetName(target.Name)] = requestedAt.Add(time.Duration(target.KeptFor))
 		}
 		delta.Targets = append(delta.Targets, shelfshelf.Target{
-			Name:       shelfshelf.TargetName(target.Name),
-			Pool:       shelfshelf.PoolName(target.Pool),
-			DataCentre: shelfshelf.DataCentre(target.DataCentre),
-			Address:    target.Address,
-			Leaving:    target.Leaving,
-			Slots:      target.Slots,
-			StartedAt:       timeFromUnixMillis(target.BornMillis),
-			Version:    shelfshelf.TargetVersion(target.Version),
-			ColdRemaining:    time.Duration(target.ColdFor),
+			Name:          shelfshelf.TargetName(target.Name),
+			Pool:          shelfshelf.PoolName(target.Pool),
+			DataCentre:    shelfshelf.DataCentre(target.DataCentre),
+			Address:       target.Address,
+			Leaving:       target.Leaving,
+			Slots:         target.Slots,
+			StartedAt:     timeFromUnixMillis(target.BornMillis),
+			Version:       shelfshelf.TargetVersion(target.Version),
+			ColdRemaining: time.Duration(target.ColdFor),
 		})
 	}
 	return delta, nil
--- a/rollout.go
+++ b/rollout.go
@@ -94,7 +94,7 @@
 // VersionChoice restricts the targets of a pool that one request may be sent to, by version.
 type VersionChoice struct {
 	// Active is set if there is any restriction.
-	Active bool
+	Active  bool
 	Version TargetVersion
 	// ToNewVersion is set if the request goes to targets of Version, and unset if it goes to all others.
 	ToNewVersion bool
@@ -106,8 +106,8 @@
 	// BarredVersions are versions that get no requests at all, unless they equal Version.
 	BarredVersions []TargetVersion
 	// OnlyRetired is set if all targets but those in Retired may be used, apart from Barred.
-	OnlyRetired  bool
-	Retired map[TargetName]bool
+	OnlyRetired bool
+	Retired     map[TargetName]bool
 }
 
 // WithoutTrial returns the choice for a request that must not try the new version.
@@ -140,7 +140,7 @@
 	// FirstAnswerRatio is the time to the first event, or to a plain response, relative to that expected of a
 	// typical target. Pace is the same ratio for the time per token. Zero means not known.
 	FirstAnswerRatio float64
-	TokenTimeRatio  float64
+	TokenTimeRatio   float64
 }
 
 // Rollouts chooses which versions of a pool get requests, and collects the results of the requests. It
--- a/rollout/criteria.go
+++ b/rollout/criteria.go
@@ -78,7 +78,9 @@
 func slowCriterion(name string, times func(cell *ResultCounts) *Histogram) criterion {
 	return criterion{
 		name: name, lenient: lenientSlowOdds, strict: strictSlowOdds, maxBad: maxSlowAnswers, histogram: times,
-		count: func(cell, baseline *ResultCounts) (uint64, uint64, bool) { return countSlow(times(cell), times(baseline)) },
+		count: func(cell, baseline *ResultCounts) (uint64, uint64, bool) {
+			return countSlow(times(cell), times(baseline))
+		},
 	}
 }
 
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -69,7 +69,7 @@
 	// FirstAnswerTimes and Pace count the times to the first event or plain response, and per token, of the
 	// requests that didn't fail.
 	FirstAnswerTimes Histogram
-	TokenTimes  Histogram
+	TokenTimes       Histogram
 }
 
 func (c *ResultCounts) observe(report shelfshelf.AttemptReport) {
@@ -108,7 +108,7 @@
 	NewRunning int
 	// OldTrafficStopped reports that the instance no longer sends requests to old targets.
 	OldTrafficStopped bool
-	Cells map[CellKey]*ResultCounts
+	Cells             map[CellKey]*ResultCounts
 }
 
 // observe counts the result of one request.
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -53,7 +53,7 @@
 type Verdict struct {
 	// Bad reports that the new version is worse than the old one beyond chance; Why names the criterion
 	// and route.
-	Bad bool
+	Bad    bool
 	Reason string
 	// Good reports that there are enough answers and no evidence against the version.
 	Good bool
@@ -67,7 +67,7 @@
 	// Evidence is the strongest evidence against the version, on a logarithmic scale; the version is bad
 	// if it reaches Limit.
 	Evidence float64
-	Limit   float64
+	Limit    float64
 }
 
 const (
--- a/rollout/keeper.go
+++ b/rollout/keeper.go
@@ -45,17 +45,17 @@
 // Controller polls the instances for their counts and evaluates them. On the leading instance it also
 // records the progress of rollouts in the store. Fields are set before Run.
 type Controller struct {
-	Clock  shelfshelf.Clock
-	Log    *log.Logger
+	Clock   shelfshelf.Clock
+	Log     *log.Logger
 	Tracker *Tracker
-	Store  shelfshelf.RolloutStore
+	Store   shelfshelf.RolloutStore
 	// Self identifies this incarnation of this instance.
 	Self InstanceRun
 	// IsLeader reports whether this instance is the one that writes to the store. Asks reports whether it
 	// polls others at all: the first instance of each data centre does, so that a network partition
 	// doesn't stop the evaluation.
-	IsLeader func() bool
-	ShouldPoll  func() bool
+	IsLeader   func() bool
+	ShouldPoll func() bool
 	// PeerAddresses returns the addresses of the other instances, of this data centre or of all.
 	PeerAddresses func(all bool) []string
 	// FetchReport fetches the counts of the instance at an address.
--- a/places.go
+++ b/slots.go
@@ -36,8 +36,8 @@
 	// requests. If requests of some duration are served too rarely, they are moved ahead of shorter
 	// ones.
 	Started bool
-	Rank  int
-	Tier  Tier
+	Rank    int
+	Tier    Tier
 	// HoldTime is the time for which the request is expected to hold its slot.
 	HoldTime time.Duration
 	// MaxWait is the maximum time in the queue.
--- a/places/book_test.go
+++ b/slots/book_test.go
@@ -1,4 +1,4 @@
-package places_test
+package slots_test
 
 import (
 	"net/netip"
@@ -10,34 +10,34 @@
 	"pgregory.net/rapid"
 
 	"github.com/shelfshelf/shelfshelf"
-	"github.com/shelfshelf/shelfshelf/places"
+	"github.com/shelfshelf/shelfshelf/slots"
 )
 
 const testTarget = shelfshelf.TargetKey(7)
 
 // bookFixture is a Book that records the grants it sends.
 type bookFixture struct {
-	*places.SlotTable
+	*slots.SlotTable
 	clock    *clockwork.FakeClock
 	slots    int
 	reported int
 	granted  []shelfshelf.SlotID
 }
 
-func newBookFixture(slots int) *bookFixture {
-	f := &bookFixture{clock: clockwork.NewFakeClock(), slots: slots}
-	f.SlotTable = &places.SlotTable{
+func newBookFixture(slotCount int) *bookFixture {
+	f := &bookFixture{clock: clockwork.NewFakeClock(), slots: slotCount}
+	f.SlotTable = &slots.SlotTable{
 		Clock: f.clock,
-		Capacity: func(target shelfshelf.TargetKey) (places.Capacity, bool) {
-			return places.Capacity{Slots: f.slots, Reported: f.reported}, target == testTarget
+		Capacity: func(target shelfshelf.TargetKey) (slots.Capacity, bool) {
+			return slots.Capacity{Slots: f.slots, Reported: f.reported}, target == testTarget
 		},
-		SendGrant: func(_ places.Holder, id shelfshelf.SlotID, _ int) { f.granted = append(f.granted, id) },
+		SendGrant: func(_ slots.Holder, id shelfshelf.SlotID, _ int) { f.granted = append(f.granted, id) },
 	}
 	return f
 }
 
-func holder(n int) places.Holder {
-	return places.Holder{Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(n)}), 1), Incarnation: 1}
+func holder(n int) slots.Holder {
+	return slots.Holder{Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(n)}), 1), Incarnation: 1}
 }
 
 func requestFor(tier shelfshelf.Tier, wait time.Duration) shelfshelf.SlotRequest {
--- a/places/client.go
+++ b/slots/client.go
@@ -1,4 +1,4 @@
-package places
+package slots
 
 import (
 	"context"
@@ -31,7 +31,7 @@
 	Clock shelfshelf.Clock
 	Log   *log.Logger
 	// Self is this instance as the others see it.
-	Self Holder
+	Self  Holder
 	Table *SlotTable
 	// Candidates returns the instances of a data centre that may own its targets, including this
 	// one if it runs there.
--- a/places/client_test.go
+++ b/slots/client_test.go
@@ -1,4 +1,4 @@
-package places
+package slots
 
 import (
 	"context"
--- a/places/doc.go
+++ b/slots/doc.go
@@ -1,4 +1,4 @@
-// Package places allocates the slots of targets to requests. A slot is one request that a target
+// Package slots allocates the slots of targets to requests. A slot is one request that a target
 // runs. Each target is owned by one instance of its data centre, chosen by rendezvous hashing among
 // the live ones. The owner keeps a table of the slots and their holders and a queue of slot
 // requests. All instances together thus never send a target more requests than it runs at once, and
@@ -12,4 +12,4 @@
 //	balancer -> Client.Ask -> datagram -> Book.Ask at the owner
 //	                       <- granted, or queued and granted later
 //	         -> Client.Give ------------> Book.Release
-package places
+package slots
--- a/places/network_test.go
+++ b/slots/network_test.go
@@ -1,4 +1,4 @@
-package places
+package slots
 
 import (
 	"context"
@@ -124,9 +124,9 @@
 		}
 	}
 	c.Table = &SlotTable{
-		Clock:    c.Clock,
-		Capacity: func(shelfshelf.TargetKey) (Capacity, bool) { return Capacity{Slots: testSlots}, true },
-		SendGrant:    c.SendGrant,
+		Clock:     c.Clock,
+		Capacity:  func(shelfshelf.TargetKey) (Capacity, bool) { return Capacity{Slots: testSlots}, true },
+		SendGrant: c.SendGrant,
 	}
 	net.mu.Lock()
 	net.clients[address] = c
--- a/places/overload_test.go
+++ b/slots/overload_test.go
@@ -1,4 +1,4 @@
-package places_test
+package slots_test
 
 import (
 	"cmp"
@@ -14,7 +14,7 @@
 	"github.com/jonboulle/clockwork"
 
 	"github.com/shelfshelf/shelfshelf"
-	"github.com/shelfshelf/shelfshelf/places"
+	"github.com/shelfshelf/shelfshelf/slots"
 )
 
 const (
@@ -31,7 +31,7 @@
 	clock  *clockwork.FakeClock
 	began  time.Time
 	random *rand.Rand
-	book   *places.SlotTable
+	book   *slots.SlotTable
 	// slowdowns holds for each target the factor by which requests take longer there.
 	slowdowns []float64
 	events    timeline
@@ -53,12 +53,12 @@
 		slowdowns: []float64{1, 1, 1, 1, 4, 4}, requests: make(map[shelfshelf.SlotID]*request),
 	}
 	o.began = o.clock.Now()
-	o.book = &places.SlotTable{
+	o.book = &slots.SlotTable{
 		Clock: o.clock,
-		Capacity: func(target shelfshelf.TargetKey) (places.Capacity, bool) {
-			return places.Capacity{Slots: slotsPerTarget}, int(target) < len(o.slowdowns)
+		Capacity: func(target shelfshelf.TargetKey) (slots.Capacity, bool) {
+			return slots.Capacity{Slots: slotsPerTarget}, int(target) < len(o.slowdowns)
 		},
-		SendGrant: func(_ places.Holder, id shelfshelf.SlotID, _ int) { o.granted(id) },
+		SendGrant: func(_ slots.Holder, id shelfshelf.SlotID, _ int) { o.granted(id) },
 	}
 	return o
 }
--- a/places/wire.go
+++ b/slots/wire.go
@@ -1,4 +1,4 @@
-package places
+package slots
 
 import (
 	"time"
@@ -115,12 +115,12 @@
 		incarnation: wire.Incarnation,
 		id:          shelfshelf.SlotID(wire.ID),
 		request: shelfshelf.SlotRequest{
-			Target: shelfshelf.TargetKey(wire.Target),
+			Target:   shelfshelf.TargetKey(wire.Target),
 			Started:  wire.Begun,
-			Rank:   wire.Rank,
-			Tier:   shelfshelf.Tier(wire.Tier),
-			MaxWait:   time.Duration(wire.WaitMillis) * time.Millisecond,
-			HoldTime:   time.Duration(wire.StayMillis) * time.Millisecond,
+			Rank:     wire.Rank,
+			Tier:     shelfshelf.Tier(wire.Tier),
+			MaxWait:  time.Duration(wire.WaitMillis) * time.Millisecond,
+			HoldTime: time.Duration(wire.StayMillis) * time.Millisecond,
 		},
 		outcome:  shelfshelf.SlotOutcome(wire.Outcome),
 		requests: wire.Requests,
--- a/places/wire_test.go
+++ b/slots/wire_test.go
@@ -1,4 +1,4 @@
-package places
+package slots
 
 import (
 	"testing"
@@ -17,12 +17,12 @@
 			incarnation: rapid.Uint64().Draw(t, "incarnation"),
 			id:          shelfshelf.SlotID(rapid.Uint64().Draw(t, "id")),
 			request: shelfshelf.SlotRequest{
-				Target: shelfshelf.TargetKey(rapid.Uint32().Draw(t, "target")),
+				Target:   shelfshelf.TargetKey(rapid.Uint32().Draw(t, "target")),
 				Started:  rapid.Bool().Draw(t, "begun"),
-				Rank:   rapid.IntRange(-3, 9).Draw(t, "rank"),
-				Tier:   shelfshelf.Tier(rapid.IntRange(0, 9).Draw(t, "tier")),
-				MaxWait:   time.Duration(rapid.IntRange(0, 1e4).Draw(t, "wait")) * time.Millisecond,
-				HoldTime:   time.Duration(rapid.IntRange(0, 1e5).Draw(t, "stay")) * time.Millisecond,
+				Rank:     rapid.IntRange(-3, 9).Draw(t, "rank"),
+				Tier:     shelfshelf.Tier(rapid.IntRange(0, 9).Draw(t, "tier")),
+				MaxWait:  time.Duration(rapid.IntRange(0, 1e4).Draw(t, "wait")) * time.Millisecond,
+				HoldTime: time.Duration(rapid.IntRange(0, 1e5).Draw(t, "stay")) * time.Millisecond,
 			},
 			outcome:  shelfshelf.SlotGranted,
 			requests: rapid.IntRange(0, 99).Draw(t, "requests"),
--- a/status.go
+++ b/status.go
@@ -25,12 +25,12 @@
 	StoreUnreachable bool
 	// WindowObserved is set if the sender has been running for a whole quota window. Recalled is set if it has
 	// learnt the customers' usage from before it started, as far as any instance knows it.
-	WindowObserved  bool
-	UsageRestored bool
+	WindowObserved bool
+	UsageRestored  bool
 	// Loads is the load that the sender has in flight at targets. Uses is the usage of customers at the
 	// sender.
 	Loads []TargetLoad
-	Usage  []CustomerUsage
+	Usage []CustomerUsage
 	// EndedUsage is the usage of customers at instances of the data centre that have ended or are silent.
 	// A restarted instance learns from it the usage at itself before the restart.
 	EndedUsage []CustomerUsage
@@ -45,7 +45,7 @@
 	Announcements []TargetAnnouncement
 	// Rollouts are the rollouts that the sender knows. They include all that had been ordered as of the
 	// store's position OrdersAsOf.
-	Rollouts   []Rollout
+	Rollouts     []Rollout
 	RolloutsAsOf uint64
 	// Evacuation holds the data centres that are evacuated, as far as the sender knows.
 	Evacuation EvacuationState
@@ -65,7 +65,7 @@
 	// Members are the instances of the data centre that may own targets.
 	Members []Member
 	Loads   []TargetLoad
-	Usage    []CustomerUsage
+	Usage   []CustomerUsage
 	// Speeds are the means of what the data centre has observed recently.
 	Speeds []TargetSpeed
 }
@@ -116,7 +116,7 @@
 type SavedUsage struct {
 	DataCentre DataCentre
 	Customer   CustomerKey
-	Buckets      [UsageBuckets]float64
+	Buckets    [UsageBuckets]float64
 }
 
 // SavedUsages is the usage of customers at all instances at the time of saving.
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -48,13 +48,13 @@
 type Request struct {
 	ID shelfshelf.RequestID
 	// Target is the target that receives the request.
-	Target     shelfshelf.Target
+	Target shelfshelf.Target
 	Method string
 	// RequestURI is the request target: path and query exactly as received from the caller.
 	RequestURI string
-	Host   string
-	Header http.Header
-	Body   []byte
+	Host       string
+	Header     http.Header
+	Body       []byte
 	// NewConnection requires a new connection, for example after a failure on a reused one.
 	NewConnection bool
 }
