--- a/target.go
+++ b/target.go
@@ -14,7 +14,7 @@
 var ErrRejected = errors.New("request rejected by the target")
 
 // ErrBroken means that the response is incomplete and the request may have run.
-var ErrBroken = errors.New("response broken off")
+var ErrBroken = errors.New("answer broken off")
 
 // CompletionCall is a model request as sent to an engine.
 type CompletionCall struct {
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -226,7 +226,7 @@
 			return nil, err
 		}
 	}
-	return nil, errors.New("no response matched the request ID")
+	return nil, errors.New("only answers of other requests came")
 }
 
 // reportAnswer decodes the head of a response and passes it to Answered.
@@ -241,14 +241,14 @@
 // discardResponse reads and discards the body of a response to another request.
 func discardResponse(response *http.Response) error {
 	if response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
-		return errors.New("response to another request has no length")
+		return errors.New("an answer of another request has no end")
 	}
 	read, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxUnmatchedBytes))
 	if err != nil {
 		return err
 	}
 	if read == maxUnmatchedBytes {
-		return errors.New("response to another request is too long")
+		return errors.New("an answer of another request is too long")
 	}
 	return nil
 }
