--- a/slots/backoff.go
+++ b/slots/backoff.go
@@ -18,7 +18,7 @@
 	distrustPeriod = 5 * time.Second
 )
 
-// backoff keeps requests away from a target that cannot be reached. It is protected by Book.mu.
+// backoff keeps requests away from a target that cannot be reached. It is protected by SlotTable.mu.
 // Without it, each instance would find out by itself: a crashed target runs no requests, so it
 // looks best to all instances, and each attempt costs a request 3 to 150 ms.
 type backoff struct {
--- a/slots/client.go
+++ b/slots/client.go
@@ -87,7 +87,7 @@
 			c.Release(id, false)
 		}
 		if answer.Outcome == shelfshelf.SlotUnavailable {
-			// The owner keeps no record of the request.
+			// The owner does not store the request.
 			c.forget(id)
 		}
 		return answer
@@ -197,7 +197,7 @@
 }
 
 // deliverAnswer handles an owner's answer to a request of this instance: the first one goes to the
-// caller of Ask, and a later grant to the granted channel. It reports whether the request is still
+// caller of Request, and a later grant to the granted channel. It reports whether the request is still
 // open.
 func (c *Client) deliverAnswer(answer shelfshelf.SlotResponse) bool {
 	c.mu.Lock()
@@ -281,7 +281,7 @@
 	})
 }
 
-// SendGrant tells a holder that its queued request was granted; it is meant for Book.SendGrant.
+// SendGrant tells a holder that its queued request was granted; it is meant for SlotTable.SendGrant.
 func (c *Client) SendGrant(holder Holder, id shelfshelf.SlotID, requests int) {
 	answer := shelfshelf.SlotResponse{ID: id, Outcome: shelfshelf.SlotGranted, InUse: requests}
 	if holder != c.Self {
--- a/slots/doc.go
+++ b/slots/doc.go
@@ -9,7 +9,7 @@
 // instance that it considers the owner, which makes up for lost messages and for failed and new
 // owners. If no owner answers, the balancer decides by its own view of the load.
 //
-//	balancer -> Client.Ask -> datagram -> Book.Ask at the owner
-//	                       <- granted, or queued and granted later
-//	         -> Client.Give ------------> Book.Release
+//	balancer -> Client.Request -> datagram -> SlotTable.Request at the owner
+//	                           <- granted, or queued and granted later
+//	         -> Client.Release ------------> SlotTable.Release
 package slots
--- a/slots/fairness.go
+++ b/slots/fairness.go
@@ -31,7 +31,7 @@
 
 // lengthFairness tracks the served share of each length bucket: which share of its recent requests
 // got a slot, at this target or at another one that was asked at the same time. It is protected by
-// Book.mu.
+// SlotTable.mu.
 type lengthFairness struct {
 	groups map[fairnessGroup]map[int]*decay.Share
 }
--- a/slots/overload_test.go
+++ b/slots/overload_test.go
@@ -31,7 +31,7 @@
 	clock  *clockwork.FakeClock
 	began  time.Time
 	random *rand.Rand
-	book   *slots.SlotTable
+	table  *slots.SlotTable
 	// slowdowns holds for each target the factor by which requests take longer there.
 	slowdowns []float64
 	events    timeline
@@ -53,7 +53,7 @@
 		slowdowns: []float64{1, 1, 1, 1, 4, 4}, requests: make(map[shelfshelf.SlotID]*request),
 	}
 	o.began = o.clock.Now()
-	o.book = &slots.SlotTable{
+	o.table = &slots.SlotTable{
 		Clock: o.clock,
 		Capacity: func(target shelfshelf.TargetKey) (slots.Capacity, bool) {
 			return slots.Capacity{Slots: slotsPerTarget}, int(target) < len(o.slowdowns)
@@ -106,7 +106,7 @@
 			Target: shelfshelf.TargetKey(target), Tier: 1, MaxWait: queueTimeout,
 			HoldTime: time.Duration(float64(req.holdTime) * o.slowdowns[target]),
 		}
-		if o.book.Request(holder(1), o.lastID, slotRequest).Outcome == shelfshelf.SlotGranted {
+		if o.table.Request(holder(1), o.lastID, slotRequest).Outcome == shelfshelf.SlotGranted {
 			o.granted(o.lastID)
 			return
 		}
@@ -118,20 +118,20 @@
 func (o *overload) granted(id shelfshelf.SlotID) {
 	req := o.requests[id]
 	if req.served {
-		o.after(0, func() { o.book.Release(holder(1), id) })
+		o.after(0, func() { o.table.Release(holder(1), id) })
 		return
 	}
 	req.served = true
 	holdTime := time.Duration(float64(req.holdTime) * o.slowdowns[req.asked[id]])
 	delete(req.asked, id)
 	o.after(0, func() { o.leave(req) })
-	o.after(holdTime, func() { o.book.Release(holder(1), id) })
+	o.after(holdTime, func() { o.table.Release(holder(1), id) })
 }
 
 // leave withdraws a request from all queues that it is still in.
 func (o *overload) leave(req *request) {
 	for _, id := range slices.Sorted(maps.Keys(req.asked)) {
-		o.book.Withdraw(holder(1), id, req.served)
+		o.table.Withdraw(holder(1), id, req.served)
 		delete(req.asked, id)
 	}
 }
--- a/slots/owner.go
+++ b/slots/owner.go
@@ -19,10 +19,10 @@
 	ownerSkipPeriod = time.Second
 )
 
-// ownerFor returns the owner to ask for a slot: the highest-ranked instance that responds. A strict
-// request (the target has a rate limit or may be cold) goes to the primary owner only, the
-// highest-ranked instance of all, even if that does not respond: any other owner would grant the
-// full rate again.
+// ownerFor returns the owner to ask for a slot: the highest-ranked instance that responds. A
+// request with PrimaryOwnerOnly (the target has a rate limit or may be cold) goes to the primary
+// owner only, the highest-ranked instance of all, even if that does not respond: any other owner
+// would grant the full rate again.
 func (c *Client) ownerFor(req shelfshelf.SlotRequest) (netip.AddrPort, bool) {
 	if req.PrimaryOwnerOnly {
 		return c.primaryOwner(req.Target, req.DataCentre)
@@ -38,7 +38,7 @@
 }
 
 // primaryOwner returns the highest-ranked owner of a target, whether it responds or not. If no
-// instance runs in the data centre, it is one of the Substitutes.
+// instance runs in the data centre, it is one of the FallbackCandidates.
 func (c *Client) primaryOwner(target shelfshelf.TargetKey, dataCentre shelfshelf.DataCentre) (netip.AddrPort, bool) {
 	candidates := c.Candidates(dataCentre)
 	if len(candidates) == 0 && c.FallbackCandidates != nil {
--- a/slots/book.go
+++ b/slots/slot_table.go
@@ -58,12 +58,12 @@
 	// RateLimit returns the rate limit of this instance for a target; a nil function means that no target
 	// is limited.
 	RateLimit func(shelfshelf.TargetKey) RateLimit
-	// SendGrant tells a holder that its queued request was granted. It is called without b.mu held.
+	// SendGrant tells a holder that its queued request was granted. It is called without t.mu held.
 	SendGrant func(holder Holder, id shelfshelf.SlotID, requests int)
 
-	mu        sync.Mutex
-	targets   map[shelfshelf.TargetKey]*targetState
-	lastHeard map[Holder]time.Time
+	mu          sync.Mutex
+	targets     map[shelfshelf.TargetKey]*targetState
+	lastContact map[Holder]time.Time
 	// nextOpening is the earliest time at which the gate of a target with queued requests opens, or
 	// zero if there is none. openingChanged signals that an earlier one was set.
 	nextOpening    time.Time
@@ -72,7 +72,7 @@
 	targetBySlot map[slotKey]shelfshelf.TargetKey
 }
 
-// targetState holds the slots and the queue of one target. It is protected by Book.mu.
+// targetState holds the slots and the queue of one target. It is protected by SlotTable.mu.
 type targetState struct {
 	createdAt time.Time
 	held      map[slotKey]time.Time
@@ -105,203 +105,203 @@
 
 // Request grants a slot or queues the request. A duplicate of a request takes no second slot; its
 // answer says whether the request is granted or queued.
-func (b *SlotTable) Request(holder Holder, id shelfshelf.SlotID, req shelfshelf.SlotRequest) shelfshelf.SlotResponse {
-	b.mu.Lock()
-	now := b.Clock.Now()
-	if _, known := b.Capacity(req.Target); !known {
-		b.mu.Unlock()
+func (t *SlotTable) Request(holder Holder, id shelfshelf.SlotID, req shelfshelf.SlotRequest) shelfshelf.SlotResponse {
+	t.mu.Lock()
+	now := t.Clock.Now()
+	if _, known := t.Capacity(req.Target); !known {
+		t.mu.Unlock()
 		return shelfshelf.SlotResponse{ID: id}
 	}
-	s := b.stateOf(req.Target, now)
-	b.recordContact(holder, now)
+	s := t.stateOf(req.Target, now)
+	t.recordContact(holder, now)
 	key := slotKey{holder: holder, id: id}
-	_, duplicate := b.targetBySlot[key]
-	b.updateGate(req.Target, s, now)
+	_, duplicate := t.targetBySlot[key]
+	t.updateGate(req.Target, s, now)
 	if left := s.blockedFor(now); left > 0 && !duplicate {
 		requests := len(s.held)
-		b.mu.Unlock()
+		t.mu.Unlock()
 		return shelfshelf.SlotResponse{ID: id, Outcome: shelfshelf.SlotUnavailable, InUse: requests, RetryAfter: left}
 	}
 	if !duplicate {
-		b.targetBySlot[key] = req.Target
+		t.targetBySlot[key] = req.Target
 		s.enqueue(queuedRequest{key: key, request: req, deadline: now.Add(req.MaxWait)})
 	}
-	grants := b.grantQueued(req.Target, s, now)
+	grants := t.grantQueued(req.Target, s, now)
 	answer := shelfshelf.SlotResponse{ID: id, Outcome: shelfshelf.SlotQueued, InUse: len(s.held)}
 	if _, held := s.held[key]; held {
 		answer.Outcome = shelfshelf.SlotGranted
 	}
-	b.mu.Unlock()
-	b.sendGrants(slices.DeleteFunc(grants, func(g grant) bool { return g.key == key }))
+	t.mu.Unlock()
+	t.sendGrants(slices.DeleteFunc(grants, func(g grant) bool { return g.key == key }))
 	return answer
 }
 
 // Withdraw withdraws a queued request; served says whether it got a slot at another target. If it has
 // been granted in the meantime, its slot is freed.
-func (b *SlotTable) Withdraw(holder Holder, id shelfshelf.SlotID, served bool) {
-	b.mu.Lock()
+func (t *SlotTable) Withdraw(holder Holder, id shelfshelf.SlotID, served bool) {
+	t.mu.Lock()
 	key := slotKey{holder: holder, id: id}
-	if target, known := b.targetBySlot[key]; known {
-		s := b.targets[target]
+	if target, known := t.targetBySlot[key]; known {
+		s := t.targets[target]
 		if req, queued := s.dequeue(key); queued {
-			s.fairness.record(req, served, b.Clock.Now())
+			s.fairness.record(req, served, t.Clock.Now())
 		}
 	}
-	b.mu.Unlock()
-	b.Release(holder, id)
+	t.mu.Unlock()
+	t.Release(holder, id)
 }
 
 // Release frees a slot or withdraws a queued request.
-func (b *SlotTable) Release(holder Holder, id shelfshelf.SlotID) {
-	b.releaseAndRecord(holder, id, (*backoff).recordAnswer)
+func (t *SlotTable) Release(holder Holder, id shelfshelf.SlotID) {
+	t.releaseAndRecord(holder, id, (*backoff).recordAnswer)
 }
 
 // ReleaseUnreachable frees a slot whose holder could not reach the target, and starts a backoff for the
 // target.
-func (b *SlotTable) ReleaseUnreachable(holder Holder, id shelfshelf.SlotID) {
-	b.releaseAndRecord(holder, id, (*backoff).recordUnreachable)
+func (t *SlotTable) ReleaseUnreachable(holder Holder, id shelfshelf.SlotID) {
+	t.releaseAndRecord(holder, id, (*backoff).recordUnreachable)
 }
 
 // releaseAndRecord frees a held slot, or withdraws a queued request. For a held slot it calls
 // record with the backoff state of the target.
-func (b *SlotTable) releaseAndRecord(holder Holder, id shelfshelf.SlotID, record func(*backoff, slotKey, time.Time)) {
-	b.mu.Lock()
-	now := b.Clock.Now()
-	b.recordContact(holder, now)
+func (t *SlotTable) releaseAndRecord(holder Holder, id shelfshelf.SlotID, record func(*backoff, slotKey, time.Time)) {
+	t.mu.Lock()
+	now := t.Clock.Now()
+	t.recordContact(holder, now)
 	key := slotKey{holder: holder, id: id}
-	target, known := b.targetBySlot[key]
+	target, known := t.targetBySlot[key]
 	if !known {
-		b.mu.Unlock()
+		t.mu.Unlock()
 		return
 	}
-	s := b.targets[target]
+	s := t.targets[target]
 	if _, held := s.held[key]; held {
 		record(&s.backoff, key, now)
 	}
 	s.dequeue(key)
-	b.removeSlot(s, key)
-	grants := b.grantQueued(target, s, now)
-	b.mu.Unlock()
-	b.sendGrants(grants)
+	t.removeSlot(s, key)
+	grants := t.grantQueued(target, s, now)
+	t.mu.Unlock()
+	t.sendGrants(grants)
 }
 
-// removeSlot deletes a held slot. The caller must hold b.mu.
-func (b *SlotTable) removeSlot(s *targetState, key slotKey) {
+// removeSlot deletes a held slot. The caller must hold t.mu.
+func (t *SlotTable) removeSlot(s *targetState, key slotKey) {
 	delete(s.held, key)
-	delete(b.targetBySlot, key)
+	delete(t.targetBySlot, key)
 }
 
 // Sync reconciles the slot table with a holder's full list of the slots that it holds at targets
 // which it believes this instance owns. Slots missing in the list are freed, and slots missing in
 // the table are added.
-func (b *SlotTable) Sync(holder Holder, held map[shelfshelf.SlotID]shelfshelf.TargetKey) {
-	b.mu.Lock()
-	now := b.Clock.Now()
-	b.recordContact(holder, now)
+func (t *SlotTable) Sync(holder Holder, held map[shelfshelf.SlotID]shelfshelf.TargetKey) {
+	t.mu.Lock()
+	now := t.Clock.Now()
+	t.recordContact(holder, now)
 	var grants []grant
 	for id, target := range held {
 		key := slotKey{holder: holder, id: id}
-		s := b.stateOf(target, now)
+		s := t.stateOf(target, now)
 		if _, known := s.held[key]; !known {
 			s.held[key] = now
-			b.targetBySlot[key] = target
+			t.targetBySlot[key] = target
 		}
 		s.dequeue(key)
 	}
-	for target, s := range b.targets {
+	for target, s := range t.targets {
 		for key, since := range s.held {
 			_, listed := held[key.id]
 			if key.holder == holder && !listed && now.Sub(since) > syncGrace {
-				b.removeSlot(s, key)
+				t.removeSlot(s, key)
 			}
 		}
-		grants = append(grants, b.grantQueued(target, s, now)...)
+		grants = append(grants, t.grantQueued(target, s, now)...)
 	}
-	b.mu.Unlock()
-	b.sendGrants(grants)
+	t.mu.Unlock()
+	t.sendGrants(grants)
 }
 
 // Sweep frees the slots of holders that have been silent for longer than holderTimeout, and removes
 // idle targets.
-func (b *SlotTable) Sweep(self Holder) {
-	b.mu.Lock()
-	now := b.Clock.Now()
-	b.recordContact(self, now)
+func (t *SlotTable) Sweep(self Holder) {
+	t.mu.Lock()
+	now := t.Clock.Now()
+	t.recordContact(self, now)
 	var grants []grant
-	for target, s := range b.targets {
+	for target, s := range t.targets {
 		for key := range s.held {
-			if now.Sub(b.lastHeard[key.holder]) > holderTimeout {
-				b.removeSlot(s, key)
+			if now.Sub(t.lastContact[key.holder]) > holderTimeout {
+				t.removeSlot(s, key)
 			}
 		}
-		grants = append(grants, b.grantQueued(target, s, now)...)
-		b.updateGate(target, s, now)
+		grants = append(grants, t.grantQueued(target, s, now)...)
+		t.updateGate(target, s, now)
 		if s.gate == nil && len(s.held) == 0 && len(s.queue) == 0 && now.Sub(s.createdAt) > warmUpPeriod && now.After(s.backoff.until.Add(maxBackoff)) {
-			delete(b.targets, target)
+			delete(t.targets, target)
 		}
 	}
-	for holder, at := range b.lastHeard {
+	for holder, at := range t.lastContact {
 		if now.Sub(at) > holderTimeout {
-			delete(b.lastHeard, holder)
+			delete(t.lastContact, holder)
 		}
 	}
-	b.mu.Unlock()
-	b.sendGrants(grants)
+	t.mu.Unlock()
+	t.sendGrants(grants)
 }
 
 // Held returns how many slots of a target are taken.
-func (b *SlotTable) Held(target shelfshelf.TargetKey) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if s := b.targets[target]; s != nil {
+func (t *SlotTable) Held(target shelfshelf.TargetKey) int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if s := t.targets[target]; s != nil {
 		return len(s.held)
 	}
 	return 0
 }
 
-func (b *SlotTable) sendGrants(grants []grant) {
+func (t *SlotTable) sendGrants(grants []grant) {
 	for _, g := range grants {
-		b.SendGrant(g.key.holder, g.key.id, g.requests)
+		t.SendGrant(g.key.holder, g.key.id, g.requests)
 	}
 }
 
-// recordContact stores when a holder was last heard from. The caller must hold b.mu.
-func (b *SlotTable) recordContact(holder Holder, now time.Time) {
-	if b.lastHeard == nil {
-		b.lastHeard = make(map[Holder]time.Time)
+// recordContact stores when a holder was last heard from. The caller must hold t.mu.
+func (t *SlotTable) recordContact(holder Holder, now time.Time) {
+	if t.lastContact == nil {
+		t.lastContact = make(map[Holder]time.Time)
 	}
-	b.lastHeard[holder] = now
+	t.lastContact[holder] = now
 }
 
-// stateOf returns the state of a target and creates it if necessary. The caller must hold b.mu.
-func (b *SlotTable) stateOf(target shelfshelf.TargetKey, now time.Time) *targetState {
-	if b.targets == nil {
-		b.targets = make(map[shelfshelf.TargetKey]*targetState)
-		b.targetBySlot = make(map[slotKey]shelfshelf.TargetKey)
+// stateOf returns the state of a target and creates it if necessary. The caller must hold t.mu.
+func (t *SlotTable) stateOf(target shelfshelf.TargetKey, now time.Time) *targetState {
+	if t.targets == nil {
+		t.targets = make(map[shelfshelf.TargetKey]*targetState)
+		t.targetBySlot = make(map[slotKey]shelfshelf.TargetKey)
 	}
-	s := b.targets[target]
+	s := t.targets[target]
 	if s == nil {
 		s = &targetState{createdAt: now, held: make(map[slotKey]time.Time)}
-		b.targets[target] = s
+		t.targets[target] = s
 	}
 	return s
 }
 
 // grantQueued grants free slots to queued requests and returns the grants, which the caller sends
-// after it has released b.mu. The caller must hold b.mu.
-func (b *SlotTable) grantQueued(target shelfshelf.TargetKey, s *targetState, now time.Time) []grant {
-	b.dropExpired(s, now)
+// after it has released t.mu. The caller must hold t.mu.
+func (t *SlotTable) grantQueued(target shelfshelf.TargetKey, s *targetState, now time.Time) []grant {
+	t.dropExpired(s, now)
 	if len(s.queue) == 0 {
 		return nil
 	}
-	capacity, known := b.Capacity(target)
-	b.updateGate(target, s, now)
+	capacity, known := t.Capacity(target)
+	t.updateGate(target, s, now)
 	var grants []grant
 	for len(s.queue) > 0 {
 		at := s.fairness.nextIndex(s.queue, now)
 		q := s.queue[at]
 		if !known || s.blockedFor(now) > 0 || s.availableSlots(capacity, q.request, now) <= 0 {
-			b.scheduleOpening(s, now)
+			t.scheduleOpening(s, now)
 			return grants
 		}
 		s.held[q.key] = now
@@ -317,70 +317,70 @@
 }
 
 // scheduleOpening sets nextOpening to the time at which the gate of a target with queued requests
-// opens, if that is earlier. The caller must hold b.mu.
-func (b *SlotTable) scheduleOpening(s *targetState, now time.Time) {
+// opens, if that is earlier. The caller must hold t.mu.
+func (t *SlotTable) scheduleOpening(s *targetState, now time.Time) {
 	if s.gate == nil {
 		return
 	}
 	left := s.gate.Wait(now)
 	at := now.Add(left)
-	if left <= 0 || !b.nextOpening.IsZero() && !at.Before(b.nextOpening) {
+	if left <= 0 || !t.nextOpening.IsZero() && !at.Before(t.nextOpening) {
 		return
 	}
-	b.nextOpening = at
+	t.nextOpening = at
 	select {
-	case b.openingChannel() <- struct{}{}:
+	case t.openingChannel() <- struct{}{}:
 	default:
 	}
 }
 
 // openingChannel returns the channel that signals an earlier nextOpening. The caller must hold
-// b.mu.
-func (b *SlotTable) openingChannel() chan struct{} {
-	if b.openingChanged == nil {
-		b.openingChanged = make(chan struct{}, 1)
+// t.mu.
+func (t *SlotTable) openingChannel() chan struct{} {
+	if t.openingChanged == nil {
+		t.openingChanged = make(chan struct{}, 1)
 	}
-	return b.openingChanged
+	return t.openingChanged
 }
 
 // NextGateOpening returns the earliest time at which the gate of a target with queued requests opens, or
 // zero if there is none, and a channel that signals an earlier one.
-func (b *SlotTable) NextGateOpening() (time.Time, <-chan struct{}) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.nextOpening, b.openingChannel()
+func (t *SlotTable) NextGateOpening() (time.Time, <-chan struct{}) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.nextOpening, t.openingChannel()
 }
 
 // GrantOpened grants slots to the queued requests of targets whose gates have opened.
-func (b *SlotTable) GrantOpened() {
-	b.mu.Lock()
-	now := b.Clock.Now()
-	b.nextOpening = time.Time{}
+func (t *SlotTable) GrantOpened() {
+	t.mu.Lock()
+	now := t.Clock.Now()
+	t.nextOpening = time.Time{}
 	var grants []grant
-	for target, s := range b.targets {
+	for target, s := range t.targets {
 		if s.gate != nil && len(s.queue) > 0 {
-			grants = append(grants, b.grantQueued(target, s, now)...)
+			grants = append(grants, t.grantQueued(target, s, now)...)
 		}
 	}
-	b.mu.Unlock()
-	b.sendGrants(grants)
+	t.mu.Unlock()
+	t.sendGrants(grants)
 }
 
 // updateGate creates, updates or removes the gate of a target according to its rate limit. The
-// caller must hold b.mu.
-func (b *SlotTable) updateGate(target shelfshelf.TargetKey, s *targetState, now time.Time) {
-	if b.RateLimit == nil {
+// caller must hold t.mu.
+func (t *SlotTable) updateGate(target shelfshelf.TargetKey, s *targetState, now time.Time) {
+	if t.RateLimit == nil {
 		return
 	}
-	pace := b.RateLimit(target)
-	if !pace.Limited {
+	rateLimit := t.RateLimit(target)
+	if !rateLimit.Limited {
 		s.gate = nil
 		return
 	}
 	if s.gate == nil {
-		s.gate = announced.NewTokenBucket(pace.PerSecond, pace.InitialBurst, now)
+		s.gate = announced.NewTokenBucket(rateLimit.PerSecond, rateLimit.InitialBurst, now)
 	}
-	s.gate.SetRate(pace.PerSecond, now)
+	s.gate.SetRate(rateLimit.PerSecond, now)
 }
 
 // blockedFor returns how long the target may not get another request because of a backoff or its
@@ -394,12 +394,12 @@
 }
 
 // dropExpired removes requests that have reached their deadline in the queue. The caller must hold
-// b.mu.
-func (b *SlotTable) dropExpired(s *targetState, now time.Time) {
+// t.mu.
+func (t *SlotTable) dropExpired(s *targetState, now time.Time) {
 	s.queue = slices.DeleteFunc(s.queue, func(q queuedRequest) bool {
 		over := now.After(q.deadline)
 		if over {
-			delete(b.targetBySlot, q.key)
+			delete(t.targetBySlot, q.key)
 			s.fairness.record(q.request, false, now)
 		}
 		return over
--- a/slots/book_test.go
+++ b/slots/slot_table_test.go
@@ -15,8 +15,8 @@
 
 const testTarget = shelfshelf.TargetKey(7)
 
-// bookFixture is a Book that records the grants it sends.
-type bookFixture struct {
+// slotTableFixture is a SlotTable that records the grants it sends.
+type slotTableFixture struct {
 	*slots.SlotTable
 	clock    *clockwork.FakeClock
 	slots    int
@@ -24,8 +24,8 @@
 	granted  []shelfshelf.SlotID
 }
 
-func newBookFixture(slotCount int) *bookFixture {
-	f := &bookFixture{clock: clockwork.NewFakeClock(), slots: slotCount}
+func newSlotTableFixture(slotCount int) *slotTableFixture {
+	f := &slotTableFixture{clock: clockwork.NewFakeClock(), slots: slotCount}
 	f.SlotTable = &slots.SlotTable{
 		Clock: f.clock,
 		Capacity: func(target shelfshelf.TargetKey) (slots.Capacity, bool) {
@@ -45,7 +45,7 @@
 }
 
 func TestSlotsAreGrantedOnce(t *testing.T) {
-	f := newBookFixture(2)
+	f := newSlotTableFixture(2)
 	for id, want := range map[shelfshelf.SlotID]shelfshelf.SlotOutcome{1: shelfshelf.SlotGranted} {
 		for range 2 { // a duplicate request takes no second slot
 			if got := f.Request(holder(1), id, requestFor(0, 0)); got.Outcome != want || got.InUse != 1 {
@@ -69,17 +69,17 @@
 	}
 }
 
-// Queued requests are ordered by begun, rank, tier, expected hold time and arrival; those whose
+// Queued requests are ordered by started, rank, tier, expected hold time and arrival; those whose
 // deadline has passed are dropped.
 func TestQueueOrder(t *testing.T) {
-	f := newBookFixture(1)
+	f := newSlotTableFixture(1)
 	f.Request(holder(1), 1, requestFor(0, 0))
-	begun := requestFor(2, time.Second)
-	begun.Started = true
+	started := requestFor(2, time.Second)
+	started.Started = true
 	late := requestFor(0, 10*time.Millisecond)
 	ranked := requestFor(0, time.Second)
 	ranked.Rank = 1
-	for id, req := range []shelfshelf.SlotRequest{requestFor(2, time.Second), ranked, requestFor(1, time.Second), late, requestFor(1, time.Second), begun} {
+	for id, req := range []shelfshelf.SlotRequest{requestFor(2, time.Second), ranked, requestFor(1, time.Second), late, requestFor(1, time.Second), started} {
 		f.Request(holder(2), shelfshelf.SlotID(10+id), req)
 	}
 	f.clock.Advance(20 * time.Millisecond)
@@ -101,7 +101,7 @@
 // Within a tier the request with the shortest expected hold time goes first, so that a slot serves
 // more callers.
 func TestShorterRequestsGoFirst(t *testing.T) {
-	f := newBookFixture(1)
+	f := newSlotTableFixture(1)
 	f.Request(holder(1), 1, requestFor(0, 0))
 	for id, holdTime := range []time.Duration{3 * time.Second, time.Second, 2 * time.Second, time.Second} {
 		req := requestFor(1, time.Minute)
@@ -124,7 +124,7 @@
 // The last slot of a target is reserved for the highest tier and for requests that a target has
 // already worked on.
 func TestLastSlotIsReserved(t *testing.T) {
-	f := newBookFixture(4)
+	f := newSlotTableFixture(4)
 	for id := range shelfshelf.SlotID(3) {
 		if got := f.Request(holder(1), id+1, requestFor(1, 0)); got.Outcome != shelfshelf.SlotGranted {
 			t.Fatalf("%d: %+v", id, got)
@@ -141,7 +141,7 @@
 // Slots missing in a holder's list are freed, and slots missing in the slot table are added. A slot
 // that was granted a moment ago may be missing in the list.
 func TestSyncReconcilesTheBook(t *testing.T) {
-	f := newBookFixture(5)
+	f := newSlotTableFixture(5)
 	f.Request(holder(1), 1, requestFor(0, 0))
 	f.Request(holder(1), 2, requestFor(0, 0))
 	f.clock.Advance(time.Second)
@@ -154,7 +154,7 @@
 
 // A new owner also counts the reported load of a target until the holders have sent their syncs.
 func TestNewOwnersCountReportedLoad(t *testing.T) {
-	f := newBookFixture(3)
+	f := newSlotTableFixture(3)
 	f.reported = 3
 	if got := f.Request(holder(1), 1, requestFor(0, 0)); got.Outcome != shelfshelf.SlotQueued {
 		t.Errorf("%+v", got)
@@ -166,7 +166,7 @@
 }
 
 func TestSilentHoldersLoseTheirSlots(t *testing.T) {
-	f := newBookFixture(1)
+	f := newSlotTableFixture(1)
 	f.Request(holder(1), 1, requestFor(0, 0))
 	for range 4 {
 		f.clock.Advance(time.Second)
@@ -181,7 +181,7 @@
 // are released.
 func TestBookNeverOvercommits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := newBookFixture(rapid.IntRange(1, 6).Draw(t, "slots"))
+		f := newSlotTableFixture(rapid.IntRange(1, 6).Draw(t, "slots"))
 		open := make(map[shelfshelf.SlotID]int)
 		for id := shelfshelf.SlotID(1); id < 60; id++ {
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
