--- a/balance/backoff.go
+++ b/balance/backoff.go
@@ -49,9 +49,9 @@
 	return retryAfter(need)
 }
 
-// RequestedBackoffLeft returns the retry delay for a refused caller if all targets have requested a backoff; 0
-// if one of them requests none at the moment. Targets in Avoid count too, since the caller will
-// return with a new request.
+// RequestedBackoffLeft returns the retry delay for a refused caller if all targets have requested a
+// backoff; 0 if one of them requests none at the moment. Targets in ExcludedTargets count too, since
+// the caller will return with a new request.
 func (b *Balancer) RequestedBackoffLeft(need Need) time.Duration {
 	need.ExcludedTargets = nil
 	until := b.requestedBackoffEnd(need)
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -85,7 +85,7 @@
 	// Rollouts chooses the target versions that requests may use; nil allows any.
 	Rollouts shelfshelf.Rollouts
 	// Announcements returns what targets have announced about themselves; nil means that nothing is
-	// known. Slots of targets with a limit are granted by their owners only, so without Places such
+	// known. Slots of targets with a limit are granted by their owners only, so without SlotOwners such
 	// targets get no requests.
 	Announcements shelfshelf.Announcements
 
--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -145,9 +145,9 @@
 	if _, err := b.Acquire(context.Background(), lower); err == nil {
 		t.Error("a lower tier got the last slot")
 	}
-	begun := lower
-	begun.Started = true
-	acquire(t, b, begun).Release(balance.Result{})
+	started := lower
+	started.Started = true
+	acquire(t, b, started).Release(balance.Result{})
 	acquire(t, b, need("highest", 0))
 }
 
--- a/balance/lease.go
+++ b/balance/lease.go
@@ -21,8 +21,8 @@
 	// InFlight is the estimate of requests that all instances had in flight at the target before
 	// this one.
 	InFlight int
-	// OwnersAsked is how many owners were asked for a slot. Alone says that no owner granted the slot:
-	// this instance took it by its own view of the load.
+	// OwnersAsked is how many owners were asked for a slot. WithoutOwner says that no owner granted the
+	// slot: this instance took it by its own view of the load.
 	OwnersAsked  int
 	WithoutOwner bool
 
@@ -52,7 +52,7 @@
 	// Events is how many events a stream had.
 	Events int
 	// Unsent says that the request did not reach the target, NotRun that the target reported not to
-	// have run it, and Left that the caller disconnected first.
+	// have run it, and CallerDisconnected that the caller disconnected first.
 	Unsent             bool
 	NotRun             bool
 	CallerDisconnected bool
--- a/balance/owners_test.go
+++ b/balance/owners_test.go
@@ -163,7 +163,7 @@
 	b, o := newBalancerWithOwners(2, local)
 	for i := range 2 {
 		if lease := acquire(t, b, need(fmt.Sprint(i), 0)); !lease.WithoutOwner || lease.OwnersAsked != 1 {
-			t.Errorf("alone %v after %d slot requests", lease.WithoutOwner, lease.OwnersAsked)
+			t.Errorf("without owner %v after %d slot requests", lease.WithoutOwner, lease.OwnersAsked)
 		}
 	}
 	if o.countOpen() != 2 || len(o.asked) != 2 {
@@ -314,7 +314,7 @@
 		o.setOutcome("t1", shelfshelf.SlotPending)
 		lease := acquire(t, b, need("x", time.Second))
 		if !lease.WithoutOwner || lease.OwnersAsked != 2 {
-			t.Errorf("alone %v after %d slot requests", lease.WithoutOwner, lease.OwnersAsked)
+			t.Errorf("without owner %v after %d slot requests", lease.WithoutOwner, lease.OwnersAsked)
 		}
 		if open := o.countOpen(); open != 1 {
 			t.Errorf("%d slots are held or requested", open)
--- a/balance/queue.go
+++ b/balance/queue.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// compareNeeds orders the queue: begun requests first, then by the customer's rank, tier and
+// compareNeeds orders the queue: started requests first, then by the customer's rank, tier and
 // arrival.
 func compareNeeds(a, b Need) int {
 	if a.Started != b.Started {
--- a/balance/version.go
+++ b/balance/version.go
@@ -70,8 +70,8 @@
 }
 
 // attemptReport returns the times of a request in relation to those of a typical target.
-// Report.First relates the time to the first token, or to a plain answer, to the time expected for
-// its prompt tokens; Report.Pace relates the time per output token. The caller must hold b.mu.
+// FirstAnswerRatio relates the time to the first token, or to a plain answer, to the time expected for
+// its prompt tokens; TokenTimeRatio relates the time per output token. The caller must hold b.mu.
 func (l *Lease) attemptReport(result Result, now time.Time) shelfshelf.AttemptReport {
 	report := shelfshelf.AttemptReport{Route: l.need.Route, Failed: result.Failed}
 	if l.need.PromptTokens == 0 {
@@ -91,8 +91,8 @@
 	return report
 }
 
-// InFlightByVersion returns how many requests this instance has in flight at targets of a pool that run other
-// versions, and how many at those that run the given version.
+// InFlightByVersion returns how many requests this instance has in flight at targets of a pool that run
+// other versions, and how many at those that run the given version.
 func (b *Balancer) InFlightByVersion(name shelfshelf.PoolName, version shelfshelf.TargetVersion) (others, at int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
