--- a/relay/relay.go
+++ b/relay/relay.go
@@ -79,7 +79,7 @@
 	needed func() bool
 }
 
-// Init initializes the queues and the HTTP client. It must be called before Heard and Run.
+// Init initializes the queues and the HTTP client. It must be called before HandleStatus and Run.
 func (r *Relay) Init() {
 	r.configurationFetches = make(chan pendingFetch, 1)
 	r.targetFetches = make(chan pendingFetch, 1)
@@ -126,8 +126,8 @@
 	}
 }
 
-// HandleStatus processes another instance's status and queues fetches of whatever is newer there. The status is
-// no older than at; a zero at means that its age is unknown.
+// HandleStatus processes another instance's status and queues fetches of whatever is newer there. The
+// status is no older than at; a zero at means that its age is unknown.
 func (r *Relay) HandleStatus(status shelfshelf.Status, at time.Time) {
 	if r.Catalog.RecordRevision(status.Revision) {
 		r.Log.Info("Another instance announced a newer configuration.", "revision", status.Revision, "from", status.From.ID)
@@ -198,7 +198,7 @@
 	r.report(e, kind, err)
 }
 
-// report logs the outcome of an exchange and passes it to Fetched.
+// report logs the outcome of an exchange and passes it to OnFetch.
 func (r *Relay) report(e *exchange, kind string, err error) {
 	e.progress.Took = r.Clock.Now().Sub(e.startedAt)
 	if r.OnFetch != nil {
--- a/relay/versions.go
+++ b/relay/versions.go
@@ -17,7 +17,7 @@
 }
 
 // FetchVersions fetches another instance's counts per pool and version. It logs nothing, because it is
-// called several times a second while an order is in progress.
+// called several times a second while a rollout is in progress.
 func (r *Relay) FetchVersions(ctx context.Context, address string) (rollout.Report, error) {
 	e := &exchange{relay: r, address: address, startedAt: r.Clock.Now()}
 	content, err := e.send(ctx, http.MethodGet, kindVersions, nil)
--- a/relay/wire.go
+++ b/relay/wire.go
@@ -137,11 +137,11 @@
 	return content, eris.Wrap(err, "encode targets")
 }
 
-func unixMillis(born time.Time) int64 {
-	if born.IsZero() {
+func unixMillis(startedAt time.Time) int64 {
+	if startedAt.IsZero() {
 		return 0
 	}
-	return born.UnixMilli()
+	return startedAt.UnixMilli()
 }
 
 func timeFromUnixMillis(millis int64) time.Time {
