--- a/upstream/client.go
+++ b/upstream/client.go
@@ -229,7 +229,7 @@
 	return nil, errors.New("only answers of other requests came")
 }
 
-// reportAnswer decodes the head of a response and passes it to Answered.
+// reportAnswer decodes the head of a response and passes it to OnAnswer.
 func (c *Client) reportAnswer(connection *conn, request Request, response *http.Response) shelfshelf.ResponseMetadata {
 	answer := c.Codec.Answer(response.StatusCode, response.Header)
 	if c.OnAnswer != nil && (answer.ID == request.ID || answer.HasAnnouncement()) {
