--- a/announced.go
+++ b/announced.go
@@ -19,8 +19,8 @@
 	return !math.IsNaN(l.PerSecond) && !math.IsInf(l.PerSecond, 0) && l.PerSecond >= 0
 }
 
-// TargetAnnouncement is what an instance knows of the announcements that a target makes in its response headers:
-// its rate limit, that it is shutting down, and a backoff.
+// TargetAnnouncement is what an instance knows of the announcements that a target makes in its response
+// headers: its rate limit, that it is shutting down, and a backoff.
 type TargetAnnouncement struct {
 	Target TargetKey
 	// StartedAt is the start time of the target's process that made the announcement; zero if targets don't
--- a/call.go
+++ b/call.go
@@ -25,7 +25,7 @@
 	Timeout time.Duration
 	// Model is the requested model; empty for plain services.
 	Model string
-	// PromptTokens and MaxOutputTokens are the sizes that the caller declares. Counted is set if they
+	// PromptTokens and MaxOutputTokens are the sizes that the caller declares. HasTokenCounts is set if they
 	// are known; otherwise both are zero.
 	PromptTokens    int
 	MaxOutputTokens int
@@ -71,16 +71,16 @@
 	// Slowdown is the current processing time of the target relative to its usual one (1), for targets that
 	// share their machine with others; 0 if it is not reported.
 	Slowdown float64
-	// Limit is the announced rate limit. LimitUnread is the text of a limit header that could not be
+	// Limit is the announced rate limit. InvalidLimit is the text of a limit header that could not be
 	// parsed, or else empty.
 	Limit        RateLimit
 	InvalidLimit string
 	// Leaving is set if the target announces that it is shutting down and wants no more requests.
-	// LeavingUnread is the text of the header if it could not be parsed.
+	// InvalidLeaving is the text of the header if it could not be parsed.
 	Leaving        bool
 	InvalidLeaving string
 	// RetryAfter is the backoff that a target asks of this instance when it rejects a request; 0 if there is
-	// none. RestUnread is the text of the header if it could not be parsed.
+	// none. InvalidRetryAfter is the text of the header if it could not be parsed.
 	RetryAfter        time.Duration
 	InvalidRetryAfter string
 }
--- a/evacuation.go
+++ b/evacuation.go
@@ -11,7 +11,7 @@
 
 // EvacuationUpdate is the part of one read of the store that concerns evacuations.
 type EvacuationUpdate struct {
-	// Full is set if Begun is the full list of evacuated data centres, not only the changes.
+	// Full is set if Started is the full list of evacuated data centres, not only the changes.
 	Full    bool
 	Started []DataCentre
 	Ended   []DataCentre
--- a/rollout.go
+++ b/rollout.go
@@ -84,7 +84,7 @@
 // RolloutStore persists the progress of rollouts and publishes it to the operator.
 type RolloutStore interface {
 	// SaveRollout stores the progress of a rollout if the stored row still has the version in
-	// rollout.Stored, and returns the new version. The error is ErrConflict if the row has another
+	// rollout.RowVersion, and returns the new version. The error is ErrConflict if the row has another
 	// version, and ErrAmbiguous if the write may have taken effect.
 	SaveRollout(ctx context.Context, rollout Rollout) (stored uint64, err error)
 	// LoadRollouts returns the stored rollouts, with their ages as of now.
@@ -105,7 +105,7 @@
 	Canaries map[TargetName]bool
 	// BarredVersions are versions that get no requests at all, unless they equal Version.
 	BarredVersions []TargetVersion
-	// OnlyRetired is set if all targets but those in Retired may be used, apart from Barred.
+	// OnlyRetired is set if all targets but those in Retired may be used, apart from BarredVersions.
 	OnlyRetired bool
 	Retired     map[TargetName]bool
 }
@@ -138,7 +138,7 @@
 	// Failed is set if the target ran the request but did not respond correctly.
 	Failed bool
 	// FirstAnswerRatio is the time to the first event, or to a plain response, relative to that expected of a
-	// typical target. Pace is the same ratio for the time per token. Zero means not known.
+	// typical target. TokenTimeRatio is the same ratio for the time per token. Zero means not known.
 	FirstAnswerRatio float64
 	TokenTimeRatio   float64
 }
@@ -149,8 +149,8 @@
 	// Choose returns where the next request of a pool may be sent; targets must be all targets of the
 	// pool.
 	Choose(pool PoolName, targets []Target) VersionChoice
-	// RequestStarted records that a request was assigned to a target. Unsent records that it was not sent to the
-	// target after all.
+	// RequestStarted records that a request was assigned to a target. RequestUnsent records that it was
+	// not sent to the target after all.
 	RequestStarted(target Target)
 	RequestUnsent(target Target)
 	// RequestEnded records the result of a request that reached a target.
--- a/slots.go
+++ b/slots.go
@@ -26,12 +26,12 @@
 	SlotUnavailable
 )
 
-// SlotRequest is a slot request: it asks the owner of a target for one of its slots.
+// SlotRequest asks the owner of a target for one of its slots.
 type SlotRequest struct {
 	Target TargetKey
 	// DataCentre is where the target runs; its owner runs there too.
 	DataCentre DataCentre
-	// Started, Rank, Tier and Stay determine the order of the queue: requests that a target has already
+	// Started, Rank, Tier and HoldTime determine the order of the queue: requests that a target has already
 	// worked on come first, then lower ranks, lower tiers, shorter expected durations and earlier
 	// requests. If requests of some duration are served too rarely, they are moved ahead of shorter
 	// ones.
@@ -43,7 +43,7 @@
 	// MaxWait is the maximum time in the queue.
 	MaxWait time.Duration
 	// Announcement is what the requester knows of the target's announcements. The slots of a target with a rate
-	// limit are assigned by its owner alone, and the owner may not have heard of the limit yet.
+	// limit are assigned by its owner alone, and the owner may not know the limit yet.
 	Announcement TargetAnnouncement
 	// PrimaryOwnerOnly is set if only the target's first owner may be asked, even if it does not respond. It is
 	// not sent over the network.
@@ -74,7 +74,7 @@
 	Outcome SlotOutcome
 	// InUse is the number of the target's slots that are in use, as far as the owner knows.
 	InUse int
-	// RetryAfter is the remaining backoff of the target; set with PlaceRests.
+	// RetryAfter is the remaining backoff of the target; set with SlotUnavailable.
 	RetryAfter time.Duration
 }
 
@@ -84,9 +84,9 @@
 	// Request requests a slot and returns the owner's first reply. If the slot request is queued or
 	// unanswered, the ID is sent to granted once the slot is assigned; the channel must have buffer
 	// space for it.
-	Request(ctx context.Context, ask SlotRequest, granted chan<- SlotID) SlotResponse
+	Request(ctx context.Context, request SlotRequest, granted chan<- SlotID) SlotResponse
 	// RecordLocalGrant records a slot that was taken without the owner's grant.
-	RecordLocalGrant(target TargetKey, centre DataCentre) SlotID
+	RecordLocalGrant(target TargetKey, dataCentre DataCentre) SlotID
 	// Release releases a slot; unreachable is set if the target could not be reached.
 	Release(id SlotID, unreachable bool)
 	// Withdraw cancels a queued slot request; served is set if the request was given a slot elsewhere.
--- a/status.go
+++ b/status.go
@@ -23,11 +23,11 @@
 	TargetsAge     time.Duration
 	// StoreUnreachable is set if the sender's reads of the platform's store fail.
 	StoreUnreachable bool
-	// WindowObserved is set if the sender has been running for a whole quota window. Recalled is set if it has
-	// learnt the customers' usage from before it started, as far as any instance knows it.
+	// WindowObserved is set if the sender has been running for a whole quota window. UsageRestored is set
+	// if it has learnt the customers' usage from before it started, as far as any instance knows it.
 	WindowObserved bool
 	UsageRestored  bool
-	// Loads is the load that the sender has in flight at targets. Uses is the usage of customers at the
+	// Loads is the load that the sender has in flight at targets. Usage is the usage of customers at the
 	// sender.
 	Loads []TargetLoad
 	Usage []CustomerUsage
@@ -44,7 +44,7 @@
 	// contains a part of them.
 	Announcements []TargetAnnouncement
 	// Rollouts are the rollouts that the sender knows. They include all that had been ordered as of the
-	// store's position OrdersAsOf.
+	// store's position RolloutsAsOf.
 	Rollouts     []Rollout
 	RolloutsAsOf uint64
 	// Evacuation holds the data centres that are evacuated, as far as the sender knows.
@@ -70,7 +70,7 @@
 	Speeds []TargetSpeed
 }
 
-// Member is an instance of a data centre that is heard from there and is not shutting down.
+// Member is an instance of a data centre that is live there and is not shutting down.
 type Member struct {
 	// Hash is a hash of the instance's name.
 	Hash    uint64
--- a/store.go
+++ b/store.go
@@ -75,7 +75,7 @@
 // UsageStore persists the usage of customers, for instances that start after all others have ended.
 type UsageStore interface {
 	// SaveUsage replaces the stored usage.
-	SaveUsage(ctx context.Context, uses []SavedUsage) error
+	SaveUsage(ctx context.Context, usage []SavedUsage) error
 	// LoadUsage returns the stored usage; the error is ErrNotFound if none is stored.
 	LoadUsage(ctx context.Context) (SavedUsages, error)
 }
