--- a/quota/demand_test.go
+++ b/quota/demand_test.go
@@ -114,7 +114,7 @@
 	})
 }
 
-// BenchmarkOwn measures Own with 520 customers at an instance that hears from 59 others: 4.6 ms when
+// BenchmarkOwn measures LocalUsage with 520 customers at an instance that hears from 59 others: 4.6 ms when
 // every call takes a sample of the others' usage, 0.9 ms with one sample a second.
 func BenchmarkOwn(b *testing.B) {
 	clock := clockwork.NewFakeClock()
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -39,8 +39,8 @@
 	Window time.Duration
 	// Slack is how many tokens all instances together may admit beyond a limit.
 	Slack float64
-	// Instances returns how many instances there are and how many of them are heard from.
-	Instances func() (known, heard int)
+	// Instances returns how many instances there are and how many of them are live.
+	Instances func() (known, live int)
 	// ReportDelay returns how long it takes until the other instances know what was used here.
 	ReportDelay func() time.Duration
 
@@ -84,15 +84,14 @@
 	Allowed float64
 	Used    float64
 	Cost    float64
-	// Share is the part of the limit that may be admitted: the share of the instances that are heard
-	// from.
+	// Share is the part of the limit that may be admitted: the share of the instances that are live.
 	Share float64
-	// ExpectedElsewhere is what the other instances are expected to use before their next report. Resting says
-	// that this instance has refused the customer lately, and so admits no more than its even share (or
-	// one single large request), whatever is expected.
+	// ExpectedElsewhere is what the other instances are expected to use before their next report.
+	// RecentlyRefused says that this instance has refused the customer lately, and so admits no more
+	// than its even share (or one single large request), whatever is expected.
 	ExpectedElsewhere float64
 	RecentlyRefused   bool
-	// Charge identifies the charge for Refund and Move. It is empty if nothing was charged.
+	// Charge identifies the charge for Refund and Recharge. It is empty if nothing was charged.
 	Charge Charge
 }
 
@@ -138,16 +137,16 @@
 	key := shelfshelf.KeyOfCustomer(customer.Name)
 	a := l.account(key, inTokens)
 	a.allowed = allowed
-	known, heard := l.Instances()
+	known, live := l.Instances()
 	verdict := Verdict{
 		Allowed: allowed,
 		Used:    l.totalUsage(key, a),
 		Cost:    a.cost(tokens),
-		Share:   float64(max(heard, 1)) / float64(max(known, 1)),
+		Share:   float64(max(live, 1)) / float64(max(known, 1)),
 	}
 	delay := l.ReportDelay()
 	l.estimateDemand(a, &verdict, delay)
-	verdict.Wait = l.waitTime(a, verdict, float64(max(heard, 1)), delay)
+	verdict.Wait = l.waitTime(a, verdict, float64(max(live, 1)), delay)
 	if verdict.Wait > 0 {
 		a.demand.refusedAt = l.Clock.Now()
 		return verdict
@@ -163,8 +162,8 @@
 	return Charge{customer: key, tokens: a.tokens, cost: cost, interval: a.ownUsage.newest}
 }
 
-// MaxRecentFraction returns the largest part of its limit that any customer has used since the given time, at most
-// one window ago, if the other instances have admitted as much as this one.
+// MaxRecentFraction returns the largest part of its limit that any customer has used since the given
+// time, at most one window ago, if the other instances have admitted as much as this one.
 func (l *Ledger) MaxRecentFraction(since time.Time) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -216,7 +215,7 @@
 	return time.Duration(a.ownUsage.intervalsUntilFreed((v.Cost-(remaining-unreported))/instances)) * intervalLength
 }
 
-// estimateDemand sets the verdict's Expected and Resting. The caller must hold l.mu.
+// estimateDemand sets the verdict's ExpectedElsewhere and RecentlyRefused. The caller must hold l.mu.
 func (l *Ledger) estimateDemand(a *account, v *Verdict, delay time.Duration) {
 	now := l.Clock.Now()
 	others := v.Used - a.ownUsage.sum
@@ -228,26 +227,26 @@
 }
 
 // Refund takes back the charge of a request that did not run.
-func (l *Ledger) Refund(entry Charge) {
-	if entry.cost == 0 {
+func (l *Ledger) Refund(charge Charge) {
+	if charge.cost == 0 {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.account(entry.customer, entry.tokens).ownUsage.add(entry.interval, -entry.cost)
+	l.account(charge.customer, charge.tokens).ownUsage.add(charge.interval, -charge.cost)
 }
 
 // Recharge makes a charge count from now on, the time its request is sent, since the request may have
 // waited after it was charged. Usage counts from when a target runs the request.
-func (l *Ledger) Recharge(entry Charge) Charge {
-	if entry.cost == 0 {
-		return entry
+func (l *Ledger) Recharge(charge Charge) Charge {
+	if charge.cost == 0 {
+		return charge
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	a := l.account(entry.customer, entry.tokens)
-	a.ownUsage.add(entry.interval, -entry.cost)
-	return a.charge(entry.customer, entry.cost)
+	a := l.account(charge.customer, charge.tokens)
+	a.ownUsage.add(charge.interval, -charge.cost)
+	return a.charge(charge.customer, charge.cost)
 }
 
 // cost returns what a request costs in the unit of the limit.
--- a/quota/received.go
+++ b/quota/received.go
@@ -12,10 +12,11 @@
 type receivedUsage struct {
 	incarnation uint64
 	bucketTimes
-	// settled says that the sender has run for at least one window, and so knows all usage in it.
-	settled bool
-	usage   map[shelfshelf.CustomerKey]usageBuckets
-	// endedUses is the usage that the sender reports of instances that have ended or are silent.
+	// windowObserved says that the sender has run for at least one window, and so knows all usage in
+	// it.
+	windowObserved bool
+	usage          map[shelfshelf.CustomerKey]usageBuckets
+	// endedUsage is the usage that the sender reports of instances that have ended or are silent.
 	endedUsage map[shelfshelf.CustomerKey]usageBuckets
 	// instances is how many instances the report covers.
 	instances int
@@ -87,9 +88,9 @@
 // Reports carry totals without times: growth since the previous report counts as used since then. The
 // usage in a first report is assumed to be distributed over the window like the customer's usage at
 // this instance. The caller must hold l.mu.
-func (l *Ledger) newReceivedUsage(previous *receivedUsage, incarnation uint64, at time.Time, settled bool, usage []shelfshelf.CustomerUsage) *receivedUsage {
+func (l *Ledger) newReceivedUsage(previous *receivedUsage, incarnation uint64, at time.Time, windowObserved bool, usage []shelfshelf.CustomerUsage) *receivedUsage {
 	s := &receivedUsage{
-		incarnation: incarnation, settled: settled, usage: make(map[shelfshelf.CustomerKey]usageBuckets, len(usage)),
+		incarnation: incarnation, windowObserved: windowObserved, usage: make(map[shelfshelf.CustomerKey]usageBuckets, len(usage)),
 		bucketTimes: bucketTimes{newestStart: at, updatedAt: at, length: bucketLength(l.Window)},
 	}
 	if previous != nil {
--- a/quota/saved.go
+++ b/quota/saved.go
@@ -41,8 +41,8 @@
 	return l.restoreDone || l.Clock.Now().Sub(l.start) >= l.Window
 }
 
-// UsageForRestore returns the usage at all instances, for another instance that starts and restores it. The error
-// is ErrUnavailable if it is not known here yet, and ErrNotFound if none was saved.
+// UsageForRestore returns the usage at all instances, for another instance that starts and restores it.
+// The error is ErrUnavailable if it is not known here yet, and ErrNotFound if none was saved.
 func (l *Ledger) UsageForRestore() (shelfshelf.SavedUsages, error) {
 	if !l.Restored() {
 		return shelfshelf.SavedUsages{}, shelfshelf.ErrUnavailable
--- a/quota/keeper.go
+++ b/quota/saver.go
@@ -43,41 +43,41 @@
 }
 
 // Run restores the usage, then saves it until the context ends.
-func (k *UsageSaver) Run(ctx context.Context) error {
-	k.restore(ctx)
-	if k.OnRestored != nil {
-		k.OnRestored()
+func (s *UsageSaver) Run(ctx context.Context) error {
+	s.restore(ctx)
+	if s.OnRestored != nil {
+		s.OnRestored()
 	}
-	return k.saveLoop(ctx)
+	return s.saveLoop(ctx)
 }
 
 // restore loads the saved usage. It retries until the first window is over, since the saved usage has
 // expired by then.
-func (k *UsageSaver) restore(ctx context.Context) {
-	for ctx.Err() == nil && !k.Ledger.WindowObserved() {
-		saved, err := k.Store.LoadUsage(ctx)
+func (s *UsageSaver) restore(ctx context.Context) {
+	for ctx.Err() == nil && !s.Ledger.WindowObserved() {
+		saved, err := s.Store.LoadUsage(ctx)
 		if errors.Is(err, shelfshelf.ErrNotFound) {
-			k.Ledger.RestoreNone()
-			k.Log.Info("No customer usage was saved.")
+			s.Ledger.RestoreNone()
+			s.Log.Info("No customer usage was saved.")
 			return
 		}
 		if err == nil {
-			k.Ledger.Restore(saved)
-			k.Log.Info("Restored the customer usage.", "customers", len(saved.Usage), "age", saved.Age)
+			s.Ledger.Restore(saved)
+			s.Log.Info("Restored the customer usage.", "customers", len(saved.Usage), "age", saved.Age)
 			return
 		}
-		k.Log.Warn("Can't load the customer usage; retrying.", "error", err)
+		s.Log.Warn("Can't load the customer usage; retrying.", "error", err)
 		select {
 		case <-ctx.Done():
-		case <-k.Clock.After(loadRetryDelay):
+		case <-s.Clock.After(loadRetryDelay):
 		}
 	}
 }
 
 // saveLoop saves the usage at every saveInterval, or earlier if a customer has used urgentFraction of
 // its limit since.
-func (k *UsageSaver) saveLoop(ctx context.Context) error {
-	lastSave := k.Clock.Now()
+func (s *UsageSaver) saveLoop(ctx context.Context) error {
+	lastSave := s.Clock.Now()
 	due := false
 	for {
 		interval := saveInterval
@@ -87,29 +87,29 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-k.Clock.After(interval):
+		case <-s.Clock.After(interval):
 		}
-		now := k.Clock.Now()
-		due = k.IsSaver()
-		if !due || now.Sub(lastSave) < saveInterval && k.Ledger.MaxRecentFraction(lastSave) < urgentFraction {
+		now := s.Clock.Now()
+		due = s.IsSaver()
+		if !due || now.Sub(lastSave) < saveInterval && s.Ledger.MaxRecentFraction(lastSave) < urgentFraction {
 			continue
 		}
 		lastSave = now
-		k.save(ctx)
+		s.save(ctx)
 	}
 }
 
 // save saves the usage. It logs only the first of consecutive failures, and the first success after
 // them.
-func (k *UsageSaver) save(ctx context.Context) {
+func (s *UsageSaver) save(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, saveTimeout)
 	defer cancel()
-	err := k.Store.SaveUsage(ctx, k.Ledger.UsageByDataCentre())
+	err := s.Store.SaveUsage(ctx, s.Ledger.UsageByDataCentre())
 	switch {
-	case err != nil && !k.saveFailing:
-		k.Log.Warn("Can't save the customer usage.", "error", err)
-	case err == nil && k.saveFailing:
-		k.Log.Info("Saving the customer usage works again.")
+	case err != nil && !s.saveFailing:
+		s.Log.Warn("Can't save the customer usage.", "error", err)
+	case err == nil && s.saveFailing:
+		s.Log.Info("Saving the customer usage works again.")
 	}
-	k.saveFailing = err != nil
+	s.saveFailing = err != nil
 }
--- a/quota/usage.go
+++ b/quota/usage.go
@@ -55,8 +55,8 @@
 // whole window, so a single restarted instance assumes only its own part. The caller must hold l.mu.
 func (l *Ledger) usageBeforeStart(key shelfshelf.CustomerKey, a *account, now time.Time) float64 {
 	known, _ := l.Instances()
-	unsettled := max(1, known-l.settledInstances())
-	share := float64(unsettled) / float64(max(known, 1))
+	withoutWindowObserved := max(1, known-l.instancesWithWindowObserved())
+	share := float64(withoutWindowObserved) / float64(max(known, 1))
 	if l.saved == nil {
 		fraction := max(0, 1-float64(now.Sub(l.start))/float64(l.Window))
 		return a.allowed * fraction * share
@@ -64,17 +64,17 @@
 	return min(l.endedUsage(key, now).total()+l.unsavedUsage(key, a)*share, a.allowed)
 }
 
-// settledInstances returns how many of the other instances have run for at least one window. The caller
-// must hold l.mu.
-func (l *Ledger) settledInstances() int {
+// instancesWithWindowObserved returns how many of the other instances have run for at least one window.
+// The caller must hold l.mu.
+func (l *Ledger) instancesWithWindowObserved() int {
 	count := 0
 	for _, s := range l.peers {
-		if s.settled {
+		if s.windowObserved {
 			count++
 		}
 	}
 	for _, s := range l.remotes {
-		if s.settled {
+		if s.windowObserved {
 			count += s.instances
 		}
 	}
@@ -82,20 +82,21 @@
 }
 
 // endedUsage returns what was used by incarnations in this data centre that ended before this instance
-// started, as reported by settled peers; without any such peer, as saved. The caller must hold l.mu.
+// started, as reported by peers that have run for a whole window; without any such peer, as saved. The
+// caller must hold l.mu.
 func (l *Ledger) endedUsage(key shelfshelf.CustomerKey, now time.Time) usageByAge {
 	var most usageByAge
-	heard := false
+	found := false
 	for _, s := range l.peers {
-		if !s.settled {
+		if !s.windowObserved {
 			continue
 		}
-		heard = true
+		found = true
 		if use := s.endedUsage[key].byAge(s.bucketTimes, now); use.total() > most.total() {
 			most = use
 		}
 	}
-	if heard {
+	if found {
 		return most
 	}
 	return l.remainingSaved(l.DataCentre, key, now)
--- a/quota/usage_by_age.go
+++ b/quota/usage_by_age.go
@@ -40,5 +40,5 @@
 	return u
 }
 
-// bucketLength returns the length of a bucket: a window has UseParts of them.
+// bucketLength returns the length of a bucket: a window has UsageBuckets of them.
 func bucketLength(window time.Duration) time.Duration { return window / shelfshelf.UsageBuckets }
