--- a/call.go
+++ b/call.go
@@ -86,7 +86,7 @@
 }
 
 // HasAnnouncement reports whether the response announces something that concerns later requests too.
-func (a ResponseMetadata) HasAnnouncement() bool { return a.Limit.Set || a.Leaving || a.RetryAfter > 0 }
+func (r ResponseMetadata) HasAnnouncement() bool { return r.Limit.Set || r.Leaving || r.RetryAfter > 0 }
 
 // CallCodec decodes and encodes the headers of requests and responses.
 type CallCodec interface {
