--- a/announced/change.go
+++ b/announced/change.go
@@ -6,7 +6,7 @@
 	"github.com/shelfshelf/shelfshelf"
 )
 
-// announcementChange describes how an announcement has changed, for the log and Record.Changed.
+// announcementChange describes how an announcement has changed, for the log and Tracker.OnChange.
 type announcementChange struct {
 	target         shelfshelf.TargetName
 	announcement   shelfshelf.TargetAnnouncement
@@ -41,7 +41,7 @@
 	return c
 }
 
-// reportChange logs a change and calls Changed; own means that this instance read it from a response.
+// reportChange logs a change and calls OnChange; own means that this instance read it from a response.
 // The caller must not hold r.mu.
 func (r *Tracker) reportChange(c announcementChange, own bool) {
 	if !c.limitChanged && !c.leavingChanged && !c.backoffChanged {
--- a/announced/limit.go
+++ b/announced/limit.go
@@ -11,7 +11,7 @@
 const limitTolerance = 0.05
 
 // noteLimit reports whether a response changes the known limit of its target's process. If the response
-// repeats that limit, noteLimit updates limitSeenAt. The caller must hold the mutex of the Record.
+// repeats that limit, noteLimit updates limitSeenAt. The caller must hold the mutex of the Tracker.
 func noteLimit(a *announcement, known shelfshelf.TargetAnnouncement, limit shelfshelf.RateLimit, sent, now time.Time) bool {
 	switch {
 	case limit.Set && sameLimit(known.Limit, limit):
--- a/announced/targets.go
+++ b/announced/targets.go
@@ -80,7 +80,7 @@
 	return r.count(r.onlyResponsesSayLeaving)
 }
 
-// Resting returns the number of listed targets whose backoff, asked of this instance, isn't over.
+// Resting returns the number of listed targets that asked this instance for a backoff that isn't over.
 func (r *Tracker) Resting() int {
 	now := r.Clock.Now()
 	return r.count(func(a *announcement) bool {
--- a/announced/token_bucket.go
+++ b/announced/token_bucket.go
@@ -7,9 +7,9 @@
 
 const (
 	// burstDuration is how long unused tokens accumulate. With less, a target with 100 requests a
-	// second would lose a send whenever none is asked for within 10 ms.
+	// second would lose a send whenever none is requested within 10 ms.
 	burstDuration = 250 * time.Millisecond
-	// closedRetryDelay is the wait returned while the gate is closed. It opens when another instance
+	// closedRetryDelay is the wait returned while the rate is 0. The rate rises when another instance
 	// has become the owner, or when this one hears from the others.
 	closedRetryDelay = 250 * time.Millisecond
 )
@@ -22,25 +22,25 @@
 // of the target doesn't know what was sent before, so a full bucket would allow an extra send with
 // each change of owner.
 type TokenBucket struct {
-	// rate is in sends per second; 0 closes the gate.
+	// rate is in sends per second; 0 means that no send is allowed.
 	rate float64
 	// tokens is the number of sends available as of filledAt.
 	tokens   float64
 	filledAt time.Time
 }
 
-// RateForWindow returns the rate of a gate that allows at most perSecond sends within any second, including
+// RateForWindow returns the rate of a token bucket that allows at most perSecond sends within any second, including
 // those for accumulated tokens.
 func RateForWindow(perSecond float64) float64 {
 	return perSecond / (1 + burstDuration.Seconds())
 }
 
-// NewTokenBucket returns a gate with a rate in sends per second and an initial number of tokens.
+// NewTokenBucket returns a token bucket with a rate in sends per second and an initial number of tokens.
 func NewTokenBucket(rate, initial float64, now time.Time) *TokenBucket {
 	return &TokenBucket{rate: rate, tokens: initial, filledAt: now}
 }
 
-// SetRate sets the rate in sends per second; 0 closes the gate and removes all tokens.
+// SetRate sets the rate in sends per second; 0 allows no sends and removes all tokens.
 func (g *TokenBucket) SetRate(rate float64, now time.Time) {
 	g.refill(now)
 	g.rate = rate
@@ -63,7 +63,7 @@
 	return time.Duration(math.Ceil((1 - g.tokens) / g.rate * float64(time.Second)))
 }
 
-// Take uses one token. The caller must have seen Left return 0.
+// Take uses one token. The caller must have seen Wait return 0.
 func (g *TokenBucket) Take() {
 	g.tokens--
 }
--- a/announced/token_bucket_test.go
+++ b/announced/token_bucket_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// However often a gate is asked and its rate changes, it allows no more sends within a window than its
+// However often a token bucket is used and its rate changes, it allows no more sends within a window than its
 // highest rate and the accumulated tokens permit.
 func TestGateLimitsRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -42,7 +42,7 @@
 	})
 }
 
-// A send is allowed after the wait that Left returned. A gate that is new or was closed has no tokens.
+// A send is allowed after the wait that Wait returned. A token bucket that is new or had the rate 0 has no tokens.
 func TestGateReturnsExactWaits(t *testing.T) {
 	// At this rate, the sum of fractions after 67 ms was once less than one token.
 	checkWaits(t, 15)
@@ -51,7 +51,7 @@
 	})
 }
 
-// checkWaits checks twenty sends through a gate, each after the wait that Left returned.
+// checkWaits checks twenty sends through a token bucket, each after the wait that Wait returned.
 func checkWaits(t rapid.TB, rate float64) {
 	t.Helper()
 	now := time.Unix(100, 0)
@@ -71,10 +71,10 @@
 	now = now.Add(time.Minute)
 	gate.SetRate(0, now)
 	if gate.Wait(now) != closedRetryDelay {
-		t.Fatal("a closed gate allows a send")
+		t.Fatal("a token bucket with the rate 0 allows a send")
 	}
 	gate.SetRate(rate, now)
 	if gate.Wait(now) == 0 {
-		t.Fatal("a gate that was closed has kept a token")
+		t.Fatal("a token bucket that had the rate 0 has kept a token")
 	}
 }
--- a/announced/record.go
+++ b/announced/tracker.go
@@ -169,7 +169,7 @@
 }
 
 // mergeSameProcess merges an announcement of the same process. The caller must hold the mutex of the
-// Record.
+// Tracker.
 func (a *announcement) mergeSameProcess(received shelfshelf.TargetAnnouncement, now time.Time) {
 	if a.StartedAt.IsZero() {
 		a.StartedAt = received.StartedAt
--- a/announced/record_test.go
+++ b/announced/tracker_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// announcementOf returns a record's announcement of the target. It clears Born if the target has announced
+// announcementOf returns a tracker's announcement of the target. It clears StartedAt if the target has announced
 // nothing.
 func announcementOf(r *announced.Tracker) shelfshelf.TargetAnnouncement {
 	known := r.Latest(key)
@@ -43,7 +43,7 @@
 	return known
 }
 
-// perSecond returns the target's limit in a record, or -1 if there is none.
+// perSecond returns the target's limit in a tracker, or -1 if there is none.
 func perSecond(r *announced.Tracker) float64 {
 	known := r.Latest(key)
 	if !known.Limit.Set {
