--- a/crashes/keeper.go
+++ b/crashes/saver.go
@@ -14,7 +14,7 @@
 
 const (
 	// minSaveInterval is the least time between two saves. saveWatchTime is how long after a change the
-	// Keeper keeps checking whether this instance has come to be in charge of saving, because the one in
+	// Saver keeps checking whether this instance has come to be in charge of saving, because the one in
 	// charge may have stopped.
 	minSaveInterval = time.Second
 	saveWatchTime   = 10 * time.Second
@@ -28,7 +28,7 @@
 	mismatchTimeout = time.Second
 )
 
-// Saver saves the record of crashes in a store, so that it survives restarts, and keeps it equal on all
+// Saver saves the known crashes in a store, so that it survives restarts, and keeps it equal on all
 // instances. Set the exported fields before Run.
 type Saver struct {
 	Clock  shelfshelf.Clock
@@ -56,7 +56,7 @@
 	storeLost chan struct{}
 }
 
-// Init prepares the Keeper. Call it before any other method.
+// Init prepares the Saver. Call it before any other method.
 func (k *Saver) Init() {
 	k.mismatchedSince = make(map[shelfshelf.InstanceID]time.Time)
 	k.fetchFrom = make(chan string, 1)
@@ -80,7 +80,7 @@
 	return k.Record.All(), nil
 }
 
-// CompareHash processes the hash of another instance's record.
+// CompareHash processes the hash of another instance's crashes.
 func (k *Saver) CompareHash(from shelfshelf.Instance, hash uint64) {
 	same := hash == k.Record.Hash()
 	k.mu.Lock()
--- a/crashes/record.go
+++ b/crashes/tracker.go
@@ -26,7 +26,7 @@
 	sameCrashWindow = 1500 * time.Millisecond
 )
 
-// Tracker holds the known crashes. Records converge: two that received the same information are equal, in
+// Tracker holds the known crashes. Trackers converge: two that received the same information are equal, in
 // whatever order it came. Set the exported fields before use. It is safe for concurrent use.
 type Tracker struct {
 	Clock shelfshelf.Clock
@@ -45,7 +45,7 @@
 	changed chan struct{}
 }
 
-// Changed returns a channel that receives a value after the record has changed.
+// Changed returns a channel that receives a value after the known crashes have changed.
 func (r *Tracker) Changed() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/crashes/record_test.go
+++ b/crashes/tracker_test.go
@@ -30,7 +30,7 @@
 	r.RecordCrash(target(name), requests, clock.Now())
 }
 
-// Records converge after a full exchange between instances, even if each saw only a part of the same
+// Trackers converge after a full exchange between instances, even if each saw only a part of the same
 // crashes, updates were lost or reordered, and each learnt of other completed runs.
 func TestRecordsConverge(t *testing.T) {
 	t.Parallel()
@@ -60,7 +60,7 @@
 		}
 		for _, r := range records[1:] {
 			if r.Hash() != records[0].Hash() || r.QuarantinedCount() != records[0].QuarantinedCount() {
-				t.Fatalf("records differ: %v and %v", records[0].All(), r.All())
+				t.Fatalf("trackers differ: %v and %v", records[0].All(), r.All())
 			}
 		}
 	})
@@ -167,7 +167,7 @@
 	}
 }
 
-// The number of crashes in a status and in the record is bounded.
+// The number of crashes in a status and in a tracker is bounded.
 func TestRecordsAreBounded(t *testing.T) {
 	t.Parallel()
 	clock := clockwork.NewFakeClock()
--- a/crashes/updates.go
+++ b/crashes/updates.go
@@ -50,7 +50,7 @@
 }
 
 // export returns the form in which a crash is sent to other instances. The caller must hold the mutex of
-// the Record.
+// the Tracker.
 func (c *crash) export(id shelfshelf.CrashID, now time.Time) shelfshelf.Crash {
 	exported := shelfshelf.Crash{ID: id, Age: now.Sub(c.at)}
 	for request, cleared := range c.runs {
@@ -71,7 +71,7 @@
 	return all
 }
 
-// Hash returns a hash of the runs of all crashes. It is equal for records that know the same runs.
+// Hash returns a hash of the runs of all crashes. It is equal for trackers that know the same runs.
 func (r *Tracker) Hash() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
