--- a/evacuation/record.go
+++ b/evacuation/tracker.go
@@ -32,7 +32,7 @@
 	stored   []shelfshelf.DataCentre
 	retained map[shelfshelf.DataCentre]time.Time
 	asOf     uint64
-	// reported is the set last passed to Changed.
+	// reported is the set last passed to OnChange.
 	reported []shelfshelf.DataCentre
 }
 
@@ -44,7 +44,7 @@
 }
 
 // ApplyStoreUpdate applies the result of reading the store. An incremental update must start at or before the
-// position up to which the caller has already applied updates, through ApplyStoreUpdate or Heard.
+// position up to which the caller has already applied updates, through ApplyStoreUpdate or Merge.
 func (r *Tracker) ApplyStoreUpdate(update shelfshelf.EvacuationUpdate) {
 	r.apply(update, storeSource)
 }
@@ -120,7 +120,7 @@
 	return slices.Compact(all)
 }
 
-// notifyIfChanged calls Changed if the set of evacuated data centres has changed. The caller must not
+// notifyIfChanged calls OnChange if the set of evacuated data centres has changed. The caller must not
 // hold r.mu.
 func (r *Tracker) notifyIfChanged(from string) {
 	r.mu.Lock()
--- a/evacuation/record_test.go
+++ b/evacuation/tracker_test.go
@@ -13,7 +13,7 @@
 	"github.com/shelfshelf/shelfshelf/evacuation"
 )
 
-// newRecord returns a record, its clock and the set that it last reported.
+// newRecord returns a tracker, its clock and the set that it last reported.
 func newRecord() (record *evacuation.Tracker, clock *clockwork.FakeClock, reported *[]shelfshelf.DataCentre) {
 	clock = clockwork.NewFakeClock()
 	reported = new([]shelfshelf.DataCentre)
