--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -80,7 +80,7 @@
 	// learnt from the directory only.
 	FetchInstances func(ctx context.Context, address string) ([]shelfshelf.Instance, error)
 	// HandleDatagram handles datagrams of other protocols on the same socket, recognized by their first byte,
-	// OtherMarker. If it is nil, there are none.
+	// DatagramMarker. If it is nil, there are none.
 	HandleDatagram func(content []byte, from netip.AddrPort)
 	DatagramMarker byte
 
@@ -174,7 +174,7 @@
 	}
 }
 
-// handleOther passes a datagram of another protocol to Other.
+// handleOther passes a datagram of another protocol to HandleDatagram.
 func (n *Node) handleOther(content []byte, from net.Addr) {
 	if sender, ok := from.(*net.UDPAddr); ok {
 		address := sender.AddrPort()
--- a/gossip/peers.go
+++ b/gossip/peers.go
@@ -300,7 +300,7 @@
 	Preceding int
 }
 
-// Started returns how far this instance's start has progressed.
+// Started returns the StartupState: how far this instance's start has progressed.
 func (n *Node) Started() StartupState {
 	n.mu.Lock()
 	defer n.mu.Unlock()
