--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -15,7 +15,7 @@
 
 const (
 	// defaultPollTimeout is how long one read waits for changes of the configuration if
-	// ConfirmPeriod is not set.
+	// PollTimeout is not set.
 	defaultPollTimeout = time.Second
 	// targetsPollTimeout is how long one read waits for changes of the targets. It may be longer
 	// because no lease depends on the age of the targets. If the source stops answering one reader
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -334,7 +334,7 @@
 	}
 }
 
-// Changed is called when a retained target expires, although the source reports nothing new.
+// OnChange is called when a retained target expires, although the source reports nothing new.
 func TestExpiryOfRetainedTargetCallsChanged(t *testing.T) {
 	both := []shelfshelf.Target{{Name: "a", Address: "x"}, {Name: "b", Address: "y"}}
 	s := &fakeSource{revision: 5, targets: both}
@@ -345,7 +345,7 @@
 		loseTargetInOutage(s)
 		time.Sleep(4 * time.Second)
 		if got := notified.Load(); got != 1 {
-			t.Errorf("%d targets at the last call of Changed, want 1", got)
+			t.Errorf("%d targets at the last call of OnChange, want 1", got)
 		}
 	})
 }
--- a/catalog/changes.go
+++ b/catalog/changes.go
@@ -19,7 +19,7 @@
 
 // Delta holds the changes of the list since an earlier version, or the full list if they are not known.
 type Delta struct {
-	// Snapshot holds the changed targets, or all targets if Whole is set.
+	// Snapshot holds the changed targets, or all targets if Full is set.
 	Snapshot
 	Full    bool
 	Since   uint64
--- a/catalog/targets.go
+++ b/catalog/targets.go
@@ -181,7 +181,7 @@
 }
 
 // expireTargets removes the expired retained targets, clears the suspects whose time is over, and calls
-// Changed if there were any.
+// OnChange if there were any.
 func (c *Catalog) expireTargets() {
 	dropped := c.dropExpired()
 	if len(dropped) > 0 {
