--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -20,7 +20,7 @@
 	return c.refusalFor(fmt.Sprintf("held back: %d targets have ended under this request", quarantine.Crashes), quarantine.Remaining)
 }
 
-// checkForCrash asks the witness to check whether the target's process has ended, if the exchange
+// checkForCrash asks the detector to check whether the target's process has ended, if the exchange
 // broke off and neither this instance nor the caller ended it.
 func (c *request) checkForCrash(lease *balance.Lease, err error) {
 	if c.incoming.Context().Err() != nil {
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -382,7 +382,7 @@
 	return c.sentAttempts - c.rejections
 }
 
-// recordFailedAttempt counts and logs a failed attempt, and has the witness check for a crash of its
+// recordFailedAttempt counts and logs a failed attempt, and has the detector check for a crash of its
 // target if the attempt broke off.
 func (c *request) recordFailedAttempt(lease *balance.Lease, began time.Time, cause error) {
 	c.server.Metrics.countFailedAttempt()
