--- a/rollout/choose.go
+++ b/rollout/choose.go
@@ -133,7 +133,7 @@
 	return r.alreadyServing(rollout)
 }
 
-// alreadyServing is Serves for a caller that already holds r.mu.
+// alreadyServing is AlreadyServing for a caller that already holds r.mu.
 func (r *Tracker) alreadyServing(rollout shelfshelf.Rollout) bool {
 	listed := r.targetCounts[rollout.Pool]
 	for version := range listed {
--- a/rollout/keeper.go
+++ b/rollout/controller.go
@@ -51,7 +51,7 @@
 	Store   shelfshelf.RolloutStore
 	// Self identifies this incarnation of this instance.
 	Self InstanceRun
-	// IsLeader reports whether this instance is the one that writes to the store. Asks reports whether it
+	// IsLeader reports whether this instance is the one that writes to the store. ShouldPoll reports whether it
 	// polls others at all: the first instance of each data centre does, so that a network partition
 	// doesn't stop the evaluation.
 	IsLeader   func() bool
--- a/rollout/doc.go
+++ b/rollout/doc.go
@@ -4,8 +4,8 @@
 // doubt: there is evidence against it, but not enough for a rollback. Sequential tests roll the new
 // version back as soon as the counts show that it is worse. Otherwise it takes over near the end of the
 // rollout's period (the move), and the rollout is completed once the new version has proven itself
-// under the full load. Shares, verdicts and times are computed by pure functions; Record holds the
-// state of one instance, and Keeper does the work that one instance does for all.
+// under the full load. Shares, verdicts and times are computed by pure functions; Tracker holds the
+// state of one instance, and Controller does the work that one instance does for all.
 //
 // An answer in this package is the result of one request at a target, also if it failed. A bad answer is
 // one that failed or, by the criteria based on times, was slow.
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -66,7 +66,7 @@
 	// Answers counts all results, failures included.
 	Answers uint64
 	Failed  uint64
-	// FirstAnswerTimes and Pace count the times to the first event or plain response, and per token, of the
+	// FirstAnswerTimes and TokenTimes count the times to the first event or plain response, and per token, of the
 	// requests that didn't fail.
 	FirstAnswerTimes Histogram
 	TokenTimes       Histogram
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -51,7 +51,7 @@
 
 // Verdict is the result of comparing a new version with the old one.
 type Verdict struct {
-	// Bad reports that the new version is worse than the old one beyond chance; Why names the criterion
+	// Bad reports that the new version is worse than the old one beyond chance; Reason names the criterion
 	// and route.
 	Bad    bool
 	Reason string
--- a/rollout/restore.go
+++ b/rollout/restore.go
@@ -17,7 +17,7 @@
 // is restored from an older copy. If it is the tracked rollout, ordered again or found in the copy at
 // another position, the tracked state continues under the new revision, and changed is true. If it is
 // one that the tracked rollout had replaced and that the copy still contains, stale is true. The caller
-// must hold the mu of the Record.
+// must hold the mutex of the Tracker.
 func (tracked *trackedRollout) adoptRestored(rollout shelfshelf.Rollout) (changed, stale bool) {
 	if shelfshelf.EraOf(rollout.Revision) <= shelfshelf.EraOf(tracked.rollout.Revision) {
 		return false, false
--- a/rollout/restore_test.go
+++ b/rollout/restore_test.go
@@ -14,7 +14,7 @@
 	}
 }
 
-// knownRollout returns the rollout that the record knows for its pool.
+// knownRollout returns the rollout that the tracker knows for its pool.
 func knownRollout(r *Tracker) shelfshelf.Rollout {
 	known, _ := r.Snapshot()
 	return known[0]
--- a/rollout/sim_test.go
+++ b/rollout/sim_test.go
@@ -77,7 +77,7 @@
 
 var sizes = []size{{6, 18, 120}, {85, 60, 426}, {300, 150, 1500}}
 
-// simulation runs one rollout with real Records and a real Keeper on a simulated clock. Targets are
+// simulation runs one rollout with real Trackers and a real Controller on a simulated clock. Targets are
 // modelled, messages between instances are delayed or lost, and instances restart.
 type simulation struct {
 	size
@@ -218,7 +218,7 @@
 	}}, 20, "test")
 }
 
-// poll polls the instances as the Keeper does; some responses are lost.
+// poll polls the instances as the Controller does; some responses are lost.
 func (sim *simulation) poll() {
 	active := sim.records[0].Active()
 	if len(active) > 0 {
@@ -240,7 +240,7 @@
 	sim.after(pollInterval, sim.poll)
 }
 
-// broadcast sends the rollouts known to the Keeper's instance to the others.
+// broadcast sends the rollouts known to the Controller's instance to the others.
 func (sim *simulation) broadcast() {
 	known, asOf := sim.records[0].Snapshot()
 	sent := sim.now
