--- a/announced/change.go
+++ b/announced/change.go
@@ -20,10 +20,10 @@
 }
 
 // detectChange compares an announcement with its previous state and updates its times of change and of
-// logging. The caller must hold r.mu.
-func (r *Tracker) detectChange(previous shelfshelf.TargetAnnouncement, a *announcement, now time.Time) announcementChange {
+// logging. The caller must hold t.mu.
+func (t *Tracker) detectChange(previous shelfshelf.TargetAnnouncement, a *announcement, now time.Time) announcementChange {
 	c := announcementChange{
-		target: r.listed[a.Target].Name, announcement: a.TargetAnnouncement,
+		target: t.listed[a.Target].Name, announcement: a.TargetAnnouncement,
 		limitChanged: previous.Limit != a.Limit, leavingChanged: previous.Leaving != a.Leaving,
 		backoffChanged: !previous.BackoffUntil.Equal(a.BackoffUntil),
 	}
@@ -42,21 +42,21 @@
 }
 
 // reportChange logs a change and calls OnChange; own means that this instance read it from a response.
-// The caller must not hold r.mu.
-func (r *Tracker) reportChange(c announcementChange, own bool) {
+// The caller must not hold t.mu.
+func (t *Tracker) reportChange(c announcementChange, own bool) {
 	if !c.limitChanged && !c.leavingChanged && !c.backoffChanged {
 		return
 	}
 	if c.limitReportDue {
-		r.Log.Info("The rate limit of a target changed.", "target", c.target, "named", c.announcement.Limit.Set,
+		t.Log.Info("The rate limit of a target changed.", "target", c.target, "named", c.announcement.Limit.Set,
 			"perSecond", c.announcement.Limit.PerSecond, "own", own)
 	}
 	if c.leavingChanged {
-		r.Log.Info("The shutdown announcement of a target changed.", "target", c.target, "leaving", c.announcement.Leaving,
+		t.Log.Info("The shutdown announcement of a target changed.", "target", c.target, "leaving", c.announcement.Leaving,
 			"born", c.announcement.StartedAt, "own", own)
 	}
 	if c.backoffLogDue {
-		r.Log.Info("A target asked for a backoff.", "target", c.target, "left", c.announcement.BackoffUntil.Sub(r.Clock.Now()))
+		t.Log.Info("A target asked for a backoff.", "target", c.target, "left", c.announcement.BackoffUntil.Sub(t.Clock.Now()))
 	}
-	r.OnChange(c.announcement.Target, own && (c.limitReportDue || c.leavingChanged))
+	t.OnChange(c.announcement.Target, own && (c.limitReportDue || c.leavingChanged))
 }
--- a/announced/status.go
+++ b/announced/status.go
@@ -19,22 +19,22 @@
 
 // ForStatus returns the announcements for the next status: recent changes first, then the next of the
 // others in rotation.
-func (r *Tracker) ForStatus() []shelfshelf.TargetAnnouncement {
-	if r.announcementCount.Load() == 0 {
+func (t *Tracker) ForStatus() []shelfshelf.TargetAnnouncement {
+	if t.announcementCount.Load() == 0 {
 		return nil
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	now := r.Clock.Now()
-	r.removeExpired(now)
-	keys := r.rotationOrder(now)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.Clock.Now()
+	t.removeExpired(now)
+	keys := t.rotationOrder(now)
 	var sent []shelfshelf.TargetAnnouncement
 	for _, recent := range []bool{true, false} {
 		for _, key := range keys {
-			a := r.announcements[key]
+			a := t.announcements[key]
 			if len(sent) < maxPerStatus && a.changedRecently(now) == recent {
 				sent = append(sent, a.TargetAnnouncement)
-				r.nextKey = key + 1
+				t.nextKey = key + 1
 			}
 		}
 	}
@@ -47,17 +47,17 @@
 
 // rotationOrder returns all targets with an announcement to send, starting after the last one sent. A
 // shutdown is left out if the target's entry says it too or the target isn't listed, because all
-// instances know of it then. The caller must hold r.mu.
-func (r *Tracker) rotationOrder(now time.Time) []shelfshelf.TargetKey {
-	keys := make([]shelfshelf.TargetKey, 0, len(r.announcements))
-	for key, a := range r.announcements {
-		if a.Version > 0 || a.changedRecently(now) || r.onlyResponsesSayLeaving(a) {
+// instances know of it then. The caller must hold t.mu.
+func (t *Tracker) rotationOrder(now time.Time) []shelfshelf.TargetKey {
+	keys := make([]shelfshelf.TargetKey, 0, len(t.announcements))
+	for key, a := range t.announcements {
+		if a.Version > 0 || a.changedRecently(now) || t.onlyResponsesSayLeaving(a) {
 			keys = append(keys, key)
 		}
 	}
 	slices.SortFunc(keys, func(a, b shelfshelf.TargetKey) int {
-		if (a >= r.nextKey) != (b >= r.nextKey) {
-			if a >= r.nextKey {
+		if (a >= t.nextKey) != (b >= t.nextKey) {
+			if a >= t.nextKey {
 				return -1
 			}
 			return 1
--- a/announced/targets.go
+++ b/announced/targets.go
@@ -17,49 +17,49 @@
 
 // SetTargets replaces the list of targets. A new process of a target starts without announcements, and
 // those of an unlisted target are removed once late messages about it are no longer expected.
-func (r *Tracker) SetTargets(targets []shelfshelf.Target) {
-	for _, c := range r.updateList(targets) {
-		r.reportChange(c, false)
+func (t *Tracker) SetTargets(targets []shelfshelf.Target) {
+	for _, c := range t.updateList(targets) {
+		t.reportChange(c, false)
 	}
 }
 
-func (r *Tracker) updateList(targets []shelfshelf.Target) []announcementChange {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	now := r.Clock.Now()
-	for key, a := range r.announcements {
-		if _, listed := r.listed[key]; listed {
+func (t *Tracker) updateList(targets []shelfshelf.Target) []announcementChange {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.Clock.Now()
+	for key, a := range t.announcements {
+		if _, listed := t.listed[key]; listed {
 			a.lastListedAt = now
 		}
 	}
-	r.listed = make(map[shelfshelf.TargetKey]shelfshelf.Target, len(targets))
+	t.listed = make(map[shelfshelf.TargetKey]shelfshelf.Target, len(targets))
 	var changes []announcementChange
 	for _, target := range targets {
 		key := shelfshelf.KeyOfTarget(target.Name)
-		r.listed[key] = target
-		if r.announcements[key] != nil {
-			changes = append(changes, r.merge(shelfshelf.TargetAnnouncement{Target: key, StartedAt: target.StartedAt}, now))
+		t.listed[key] = target
+		if t.announcements[key] != nil {
+			changes = append(changes, t.merge(shelfshelf.TargetAnnouncement{Target: key, StartedAt: target.StartedAt}, now))
 		}
 	}
-	r.removeExpired(now)
+	t.removeExpired(now)
 	return changes
 }
 
 // removeExpired removes announcements that no longer matter: limits that ended long ago and those of
-// targets that are gone. The caller must hold r.mu.
-func (r *Tracker) removeExpired(now time.Time) {
-	for key, a := range r.announcements {
-		if !r.retained(a, now) {
-			delete(r.announcements, key)
+// targets that are gone. The caller must hold t.mu.
+func (t *Tracker) removeExpired(now time.Time) {
+	for key, a := range t.announcements {
+		if !t.retained(a, now) {
+			delete(t.announcements, key)
 		}
 	}
-	r.announcementCount.Store(int64(len(r.announcements)))
+	t.announcementCount.Store(int64(len(t.announcements)))
 }
 
 // retained reports whether an announcement still matters or older messages about it may still arrive.
-// The caller must hold r.mu.
-func (r *Tracker) retained(a *announcement, now time.Time) bool {
-	_, listed := r.listed[a.Target]
+// The caller must hold t.mu.
+func (t *Tracker) retained(a *announcement, now time.Time) bool {
+	_, listed := t.listed[a.Target]
 	switch {
 	case now.Sub(a.firstSeenAt) <= endedLimitRetention, now.Sub(a.changedAt) <= endedLimitRetention, now.Before(a.BackoffUntil):
 		return true
@@ -70,37 +70,37 @@
 }
 
 // Limited returns the number of targets with a rate limit.
-func (r *Tracker) Limited() int {
-	return r.count(func(a *announcement) bool { return a.Limit.Set })
+func (t *Tracker) Limited() int {
+	return t.count(func(a *announcement) bool { return a.Limit.Set })
 }
 
 // Leaving returns the number of listed targets that announce their shutdown in responses but not in their
 // entries.
-func (r *Tracker) Leaving() int {
-	return r.count(r.onlyResponsesSayLeaving)
+func (t *Tracker) Leaving() int {
+	return t.count(t.onlyResponsesSayLeaving)
 }
 
 // Resting returns the number of listed targets that asked this instance for a backoff that isn't over.
-func (r *Tracker) Resting() int {
-	now := r.Clock.Now()
-	return r.count(func(a *announcement) bool {
-		_, listed := r.listed[a.Target]
+func (t *Tracker) Resting() int {
+	now := t.Clock.Now()
+	return t.count(func(a *announcement) bool {
+		_, listed := t.listed[a.Target]
 		return listed && now.Before(a.BackoffUntil)
 	})
 }
 
 // onlyResponsesSayLeaving reports whether a listed target has announced its shutdown in responses while
-// its entry doesn't say so. The caller must hold r.mu.
-func (r *Tracker) onlyResponsesSayLeaving(a *announcement) bool {
-	target, listed := r.listed[a.Target]
+// its entry doesn't say so. The caller must hold t.mu.
+func (t *Tracker) onlyResponsesSayLeaving(a *announcement) bool {
+	target, listed := t.listed[a.Target]
 	return a.Leaving && listed && !target.Leaving
 }
 
-func (r *Tracker) count(matches func(*announcement) bool) int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (t *Tracker) count(matches func(*announcement) bool) int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	count := 0
-	for _, a := range r.announcements {
+	for _, a := range t.announcements {
 		if matches(a) {
 			count++
 		}
--- a/announced/token_bucket.go
+++ b/announced/token_bucket.go
@@ -41,41 +41,41 @@
 }
 
 // SetRate sets the rate in sends per second; 0 allows no sends and removes all tokens.
-func (g *TokenBucket) SetRate(rate float64, now time.Time) {
-	g.refill(now)
-	g.rate = rate
-	g.tokens = min(g.tokens, g.capacity())
+func (b *TokenBucket) SetRate(rate float64, now time.Time) {
+	b.refill(now)
+	b.rate = rate
+	b.tokens = min(b.tokens, b.capacity())
 	if rate <= 0 {
-		g.tokens = 0
+		b.tokens = 0
 	}
 }
 
 // Wait returns how long to wait for the next send, 0 if one is allowed now.
-func (g *TokenBucket) Wait(now time.Time) time.Duration {
-	g.refill(now)
+func (b *TokenBucket) Wait(now time.Time) time.Duration {
+	b.refill(now)
 	switch {
-	case g.rate <= 0:
+	case b.rate <= 0:
 		return closedRetryDelay
-	case g.tokens >= wholeToken:
+	case b.tokens >= wholeToken:
 		return 0
 	}
 	// Rounded up so that a token is available after the wait.
-	return time.Duration(math.Ceil((1 - g.tokens) / g.rate * float64(time.Second)))
+	return time.Duration(math.Ceil((1 - b.tokens) / b.rate * float64(time.Second)))
 }
 
 // Take uses one token. The caller must have seen Wait return 0.
-func (g *TokenBucket) Take() {
-	g.tokens--
+func (b *TokenBucket) Take() {
+	b.tokens--
 }
 
 // capacity returns the largest number of tokens that accumulate.
-func (g *TokenBucket) capacity() float64 {
-	return max(1, g.rate*burstDuration.Seconds())
+func (b *TokenBucket) capacity() float64 {
+	return max(1, b.rate*burstDuration.Seconds())
 }
 
-func (g *TokenBucket) refill(now time.Time) {
-	if elapsed := now.Sub(g.filledAt); elapsed > 0 {
-		g.tokens = min(g.tokens+g.rate*elapsed.Seconds(), g.capacity())
+func (b *TokenBucket) refill(now time.Time) {
+	if elapsed := now.Sub(b.filledAt); elapsed > 0 {
+		b.tokens = min(b.tokens+b.rate*elapsed.Seconds(), b.capacity())
 	}
-	g.filledAt = now
+	b.filledAt = now
 }
--- a/announced/token_bucket_test.go
+++ b/announced/token_bucket_test.go
@@ -10,19 +10,19 @@
 
 // However often a token bucket is used and its rate changes, it allows no more sends within a window than its
 // highest rate and the accumulated tokens permit.
-func TestGateLimitsRate(t *testing.T) {
+func TestTokenBucketLimitsRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(0.1, 200).Draw(t, "rate")
 		seed := rapid.Uint64().Draw(t, "seed")
 		random := rand.New(rand.NewPCG(seed, 1))
 		now := time.Unix(100, 0)
-		gate := NewTokenBucket(0, 0, now)
+		bucket := NewTokenBucket(0, 0, now)
 		var sent []time.Time
 		for range 600 {
 			now = now.Add(time.Duration(random.ExpFloat64() * float64(20*time.Millisecond)))
-			gate.SetRate(rate*random.Float64(), now)
-			if gate.Wait(now) == 0 {
-				gate.Take()
+			bucket.SetRate(rate*random.Float64(), now)
+			if bucket.Wait(now) == 0 {
+				bucket.Take()
 				sent = append(sent, now)
 			}
 		}
@@ -43,7 +43,7 @@
 }
 
 // A send is allowed after the wait that Wait returned. A token bucket that is new or had the rate 0 has no tokens.
-func TestGateReturnsExactWaits(t *testing.T) {
+func TestTokenBucketReturnsExactWaits(t *testing.T) {
 	// At this rate, the sum of fractions after 67 ms was once less than one token.
 	checkWaits(t, 15)
 	rapid.Check(t, func(t *rapid.T) {
@@ -55,26 +55,26 @@
 func checkWaits(t rapid.TB, rate float64) {
 	t.Helper()
 	now := time.Unix(100, 0)
-	gate := NewTokenBucket(0, 0, now)
-	gate.SetRate(rate, now)
+	bucket := NewTokenBucket(0, 0, now)
+	bucket.SetRate(rate, now)
 	for range 20 {
-		left := gate.Wait(now)
-		if left <= 0 {
+		wait := bucket.Wait(now)
+		if wait <= 0 {
 			t.Fatal("a send is allowed too early")
 		}
-		now = now.Add(left)
-		if left := gate.Wait(now); left != 0 {
-			t.Fatalf("%v left after the wait", left)
+		now = now.Add(wait)
+		if wait := bucket.Wait(now); wait != 0 {
+			t.Fatalf("%v left after the wait", wait)
 		}
-		gate.Take()
+		bucket.Take()
 	}
 	now = now.Add(time.Minute)
-	gate.SetRate(0, now)
-	if gate.Wait(now) != closedRetryDelay {
+	bucket.SetRate(0, now)
+	if bucket.Wait(now) != closedRetryDelay {
 		t.Fatal("a token bucket with the rate 0 allows a send")
 	}
-	gate.SetRate(rate, now)
-	if gate.Wait(now) == 0 {
+	bucket.SetRate(rate, now)
+	if bucket.Wait(now) == 0 {
 		t.Fatal("a token bucket that had the rate 0 has kept a token")
 	}
 }
--- a/announced/tracker.go
+++ b/announced/tracker.go
@@ -57,47 +57,47 @@
 // ObserveResponse processes the announcements in a target's response to a request that was sent at the given
 // time. A response without a limit ends a known limit only if its request was sent after this instance
 // learnt of that limit, because response headers can arrive out of order.
-func (r *Tracker) ObserveResponse(target shelfshelf.Target, answer shelfshelf.ResponseMetadata, sent time.Time) {
-	r.logUnreadable(target.Name, "limit", answer.InvalidLimit)
-	r.logUnreadable(target.Name, "leaving", answer.InvalidLeaving)
-	r.logUnreadable(target.Name, "rest", answer.InvalidRetryAfter)
-	nothingToDo := !answer.HasAnnouncement() && r.announcementCount.Load() == 0
+func (t *Tracker) ObserveResponse(target shelfshelf.Target, answer shelfshelf.ResponseMetadata, sent time.Time) {
+	t.logUnreadable(target.Name, "limit", answer.InvalidLimit)
+	t.logUnreadable(target.Name, "leaving", answer.InvalidLeaving)
+	t.logUnreadable(target.Name, "rest", answer.InvalidRetryAfter)
+	nothingToDo := !answer.HasAnnouncement() && t.announcementCount.Load() == 0
 	if nothingToDo || answer.Misdirected {
 		return
 	}
-	c := r.observe(target, answer, sent)
+	c := t.observe(target, answer, sent)
 	c.target = target.Name
-	r.reportChange(c, true)
+	t.reportChange(c, true)
 }
 
 // logUnreadable logs an announcement that can't be parsed and is ignored. An empty text means that there
 // is none.
-func (r *Tracker) logUnreadable(target shelfshelf.TargetName, kind, text string) {
+func (t *Tracker) logUnreadable(target shelfshelf.TargetName, kind, text string) {
 	if text == "" {
 		return
 	}
-	r.mu.Lock()
-	now := r.Clock.Now()
-	due := now.Sub(r.unreadableLoggedAt) >= minLogInterval
+	t.mu.Lock()
+	now := t.Clock.Now()
+	due := now.Sub(t.unreadableLoggedAt) >= minLogInterval
 	if due {
-		r.unreadableLoggedAt = now
+		t.unreadableLoggedAt = now
 	}
-	r.mu.Unlock()
+	t.mu.Unlock()
 	if due {
-		r.Log.Warn("An announcement of a target is unreadable and is ignored.", "target", target, "word", kind, "text", text)
+		t.Log.Warn("An announcement of a target is unreadable and is ignored.", "target", target, "word", kind, "text", text)
 	}
 }
 
 // observe merges the announcements of a response that this instance read.
-func (r *Tracker) observe(target shelfshelf.Target, answer shelfshelf.ResponseMetadata, sent time.Time) announcementChange {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (t *Tracker) observe(target shelfshelf.Target, answer shelfshelf.ResponseMetadata, sent time.Time) announcementChange {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	key := shelfshelf.KeyOfTarget(target.Name)
-	a := r.announcements[key]
+	a := t.announcements[key]
 	if a == nil && !answer.HasAnnouncement() || a != nil && startedLater(a.StartedAt, target.StartedAt) {
 		return announcementChange{}
 	}
-	now := r.Clock.Now()
+	now := t.Clock.Now()
 	received := shelfshelf.TargetAnnouncement{Target: key, StartedAt: target.StartedAt, Leaving: answer.Leaving}
 	if a != nil && !startedLater(target.StartedAt, a.StartedAt) {
 		received.Version, received.Limit = a.Version, a.Limit
@@ -109,35 +109,35 @@
 	if answer.RetryAfter > 0 {
 		received.BackoffUntil = now.Add(answer.RetryAfter)
 	}
-	return r.merge(received, now)
+	return t.merge(received, now)
 }
 
 // Merge merges announcements received from another instance.
-func (r *Tracker) Merge(announcements []shelfshelf.TargetAnnouncement) {
+func (t *Tracker) Merge(announcements []shelfshelf.TargetAnnouncement) {
 	for _, received := range announcements {
-		r.reportChange(r.receive(received), false)
+		t.reportChange(t.receive(received), false)
 	}
 }
 
-func (r *Tracker) receive(received shelfshelf.TargetAnnouncement) announcementChange {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.announcements[received.Target] == nil && received.Version == 0 && !received.Leaving && received.StartedAt.IsZero() {
+func (t *Tracker) receive(received shelfshelf.TargetAnnouncement) announcementChange {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.announcements[received.Target] == nil && received.Version == 0 && !received.Leaving && received.StartedAt.IsZero() {
 		return announcementChange{}
 	}
-	return r.merge(received, r.Clock.Now())
+	return t.merge(received, t.Clock.Now())
 }
 
 // merge merges a received announcement into the known one. The result doesn't depend on the order in
-// which announcements arrive or on how often. The caller must hold r.mu.
-func (r *Tracker) merge(received shelfshelf.TargetAnnouncement, now time.Time) announcementChange {
-	a := r.announcements[received.Target]
+// which announcements arrive or on how often. The caller must hold t.mu.
+func (t *Tracker) merge(received shelfshelf.TargetAnnouncement, now time.Time) announcementChange {
+	a := t.announcements[received.Target]
 	if a != nil && startedLater(a.StartedAt, received.StartedAt) {
 		return announcementChange{}
 	}
 	if a == nil {
 		a = newAnnouncement(received, now)
-		r.add(a)
+		t.add(a)
 	}
 	previous := a.TargetAnnouncement
 	if startedLater(received.StartedAt, a.StartedAt) {
@@ -146,7 +146,7 @@
 		a.changedAt = changedAt
 	}
 	a.mergeSameProcess(received, now)
-	return r.detectChange(previous, a, now)
+	return t.detectChange(previous, a, now)
 }
 
 // newAnnouncement returns the empty announcement of a target's process.
@@ -154,18 +154,18 @@
 	return &announcement{TargetAnnouncement: shelfshelf.TargetAnnouncement{Target: like.Target, StartedAt: like.StartedAt}, firstSeenAt: now, lastListedAt: now}
 }
 
-// add adds an announcement. The caller must hold r.mu.
-func (r *Tracker) add(a *announcement) {
-	if r.announcements == nil {
-		r.announcements = make(map[shelfshelf.TargetKey]*announcement)
+// add adds an announcement. The caller must hold t.mu.
+func (t *Tracker) add(a *announcement) {
+	if t.announcements == nil {
+		t.announcements = make(map[shelfshelf.TargetKey]*announcement)
 	}
-	r.announcements[a.Target] = a
-	r.announcementCount.Store(int64(len(r.announcements)))
+	t.announcements[a.Target] = a
+	t.announcementCount.Store(int64(len(t.announcements)))
 }
 
 // startedLater reports whether a process is known to have started after another one.
-func startedLater(born, other time.Time) bool {
-	return !born.IsZero() && !other.IsZero() && born.After(other)
+func startedLater(startedAt, other time.Time) bool {
+	return !startedAt.IsZero() && !other.IsZero() && startedAt.After(other)
 }
 
 // mergeSameProcess merges an announcement of the same process. The caller must hold the mutex of the
@@ -188,13 +188,13 @@
 }
 
 // Latest returns the current announcement of a target.
-func (r *Tracker) Latest(target shelfshelf.TargetKey) shelfshelf.TargetAnnouncement {
-	if r.announcementCount.Load() == 0 {
+func (t *Tracker) Latest(target shelfshelf.TargetKey) shelfshelf.TargetAnnouncement {
+	if t.announcementCount.Load() == 0 {
 		return shelfshelf.TargetAnnouncement{Target: target}
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if a := r.announcements[target]; a != nil {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if a := t.announcements[target]; a != nil {
 		return a.TargetAnnouncement
 	}
 	return shelfshelf.TargetAnnouncement{Target: target}
--- a/announced/tracker_test.go
+++ b/announced/tracker_test.go
@@ -27,7 +27,7 @@
 	return shelfshelf.ResponseMetadata{Limit: shelfshelf.RateLimit{Set: true, PerSecond: perSecond}}
 }
 
-func newRecord(clock shelfshelf.Clock) *announced.Tracker {
+func newTracker(clock shelfshelf.Clock) *announced.Tracker {
 	return &announced.Tracker{
 		Clock: clock, Log: log.New(io.Discard), OnChange: func(shelfshelf.TargetKey, bool) {},
 	}
@@ -56,7 +56,7 @@
 // because headers of responses to earlier requests can arrive later.
 func TestLimitEndsWithLaterResponseWithoutIt(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	r := newRecord(clock)
+	r := newTracker(clock)
 	before := clock.Now()
 	clock.Advance(time.Second)
 	r.ObserveResponse(target, limited(1.5), before)
@@ -80,7 +80,7 @@
 // unlisted target are removed.
 func TestLimitBelongsToOneProcess(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	r := newRecord(clock)
+	r := newTracker(clock)
 	r.SetTargets([]shelfshelf.Target{{Name: name, StartedAt: time.Unix(1, 0)}})
 	r.ObserveResponse(target, limited(2), clock.Now())
 	r.SetTargets([]shelfshelf.Target{{Name: name, StartedAt: time.Unix(1, 0)}})
@@ -102,7 +102,7 @@
 // rotation.
 func TestManyLimitsAreSentInRotation(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	r := newRecord(clock)
+	r := newTracker(clock)
 	const count = 100
 	for i := range count {
 		r.Merge([]shelfshelf.TargetAnnouncement{{Target: shelfshelf.TargetKey(i + 1), Version: 1, Limit: shelfshelf.RateLimit{Set: true, PerSecond: 1}}})
@@ -128,7 +128,7 @@
 // also if the entry was missing for a time. It doesn't apply to the next process.
 func TestLeavingLastsForOneProcess(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	r := newRecord(clock)
+	r := newTracker(clock)
 	first := shelfshelf.Target{Name: name, StartedAt: time.Unix(1, 0)}
 	second := shelfshelf.Target{Name: name, StartedAt: time.Unix(2, 0)}
 	r.SetTargets([]shelfshelf.Target{first})
@@ -167,7 +167,7 @@
 // process. Of several backoffs the one that ends last applies.
 func TestBackoffIsLocalToOneInstance(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	r := newRecord(clock)
+	r := newTracker(clock)
 	first := shelfshelf.Target{Name: name, StartedAt: time.Unix(1, 0)}
 	r.SetTargets([]shelfshelf.Target{first})
 	began := clock.Now()
@@ -192,7 +192,7 @@
 // Unreadable announcements are ignored without affecting the readable ones beside them.
 func TestUnreadableAnnouncementsAreIgnored(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	r := newRecord(clock)
+	r := newTracker(clock)
 	r.ObserveResponse(target, shelfshelf.ResponseMetadata{InvalidLeaving: "soon", InvalidLimit: "few", InvalidRetryAfter: "a while"}, clock.Now())
 	r.ObserveResponse(target, shelfshelf.ResponseMetadata{Leaving: true, Misdirected: true}, clock.Now())
 	if known := r.Latest(key); known != (shelfshelf.TargetAnnouncement{Target: key}) {
@@ -211,7 +211,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		processesKnown := rapid.Bool().Draw(t, "processes are known")
 		var newest time.Time
-		born := func(t *rapid.T) time.Time {
+		startedAt := func(t *rapid.T) time.Time {
 			if !processesKnown {
 				return time.Time{}
 			}
@@ -223,12 +223,12 @@
 		}
 		var leaving [4]shelfshelf.TargetAnnouncement
 		clock := clockwork.NewFakeClock()
-		records := make([]*announced.Tracker, 4)
-		for i := range records {
-			records[i] = newRecord(clock)
+		trackers := make([]*announced.Tracker, 4)
+		for i := range trackers {
+			trackers[i] = newTracker(clock)
 		}
 		var sent [][]shelfshelf.TargetAnnouncement
-		pick := rapid.IntRange(0, len(records)-1)
+		pick := rapid.IntRange(0, len(trackers)-1)
 		t.Repeat(map[string]func(*rapid.T){
 			"read": func(t *rapid.T) {
 				answer := shelfshelf.ResponseMetadata{}
@@ -238,17 +238,17 @@
 				answer.Leaving = rapid.IntRange(0, 5).Draw(t, "leaves") == 0
 				clock.Advance(time.Millisecond)
 				by := pick.Draw(t, "by")
-				of := shelfshelf.Target{Name: name, StartedAt: born(t)}
-				records[by].ObserveResponse(of, answer, clock.Now())
+				of := shelfshelf.Target{Name: name, StartedAt: startedAt(t)}
+				trackers[by].ObserveResponse(of, answer, clock.Now())
 				if answer.Leaving && !of.StartedAt.Before(leaving[by].StartedAt) {
 					leaving[by] = shelfshelf.TargetAnnouncement{Leaving: true, StartedAt: of.StartedAt}
 				}
 			},
 			"list": func(t *rapid.T) {
-				records[pick.Draw(t, "at")].SetTargets([]shelfshelf.Target{{Name: name, StartedAt: born(t)}})
+				trackers[pick.Draw(t, "at")].SetTargets([]shelfshelf.Target{{Name: name, StartedAt: startedAt(t)}})
 			},
 			"": func(t *rapid.T) {
-				for i, r := range records {
+				for i, r := range trackers {
 					known := r.Latest(key)
 					if leaving[i].Leaving && !known.Leaving && !known.StartedAt.After(leaving[i].StartedAt) {
 						t.Fatalf("lost a shutdown announcement: %+v, read %+v", known, leaving[i])
@@ -256,36 +256,36 @@
 				}
 			},
 			"tell": func(t *rapid.T) {
-				sent = append(sent, records[pick.Draw(t, "from")].ForStatus())
+				sent = append(sent, trackers[pick.Draw(t, "from")].ForStatus())
 			},
 			"hear": func(t *rapid.T) {
 				if len(sent) > 0 {
-					records[pick.Draw(t, "to")].Merge(sent[rapid.IntRange(0, len(sent)-1).Draw(t, "word")])
+					trackers[pick.Draw(t, "to")].Merge(sent[rapid.IntRange(0, len(sent)-1).Draw(t, "word")])
 				}
 			},
 		})
 		// In the end all instances read the same list.
-		for _, r := range records {
+		for _, r := range trackers {
 			r.SetTargets([]shelfshelf.Target{{Name: name, StartedAt: newest}})
 		}
 		for range 2 {
-			for _, from := range records {
-				for _, to := range records {
+			for _, from := range trackers {
+				for _, to := range trackers {
 					to.Merge(from.ForStatus())
 				}
 			}
 		}
-		for _, r := range records[1:] {
-			if diff := cmp.Diff(announcementOf(records[0]), announcementOf(r)); diff != "" {
+		for _, r := range trackers[1:] {
+			if diff := cmp.Diff(announcementOf(trackers[0]), announcementOf(r)); diff != "" {
 				t.Fatal(diff)
 			}
 		}
 		clock.Advance(time.Millisecond)
 		last := rapid.Float64Range(10, 20).Draw(t, "last")
-		records[0].ObserveResponse(shelfshelf.Target{Name: name, StartedAt: records[0].Latest(key).StartedAt}, limited(last), clock.Now())
-		for _, r := range records {
-			r.Merge(records[0].ForStatus())
-			r.Merge(append([]shelfshelf.TargetAnnouncement(nil), records[1].ForStatus()...))
+		trackers[0].ObserveResponse(shelfshelf.Target{Name: name, StartedAt: trackers[0].Latest(key).StartedAt}, limited(last), clock.Now())
+		for _, r := range trackers {
+			r.Merge(trackers[0].ForStatus())
+			r.Merge(append([]shelfshelf.TargetAnnouncement(nil), trackers[1].ForStatus()...))
 			if perSecond(r) != last {
 				t.Fatalf("limit %v, want %v", perSecond(r), last)
 			}
