--- a/crashes/detector.go
+++ b/crashes/detector.go
@@ -44,55 +44,55 @@
 }
 
 // ResponseBroken records that a target's response to a request broke off and starts a check. It doesn't block.
-func (w *Detector) ResponseBroken(target shelfshelf.Target, request shelfshelf.Fingerprint) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if c := w.checks[target.Name]; c != nil {
+func (d *Detector) ResponseBroken(target shelfshelf.Target, request shelfshelf.Fingerprint) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if c := d.checks[target.Name]; c != nil {
 		c.requests = append(c.requests, request)
 		return
 	}
-	if w.checks == nil {
-		w.checks = make(map[shelfshelf.TargetName]*check)
+	if d.checks == nil {
+		d.checks = make(map[shelfshelf.TargetName]*check)
 	}
-	c := &check{target: target, at: w.Clock.Now(), requests: []shelfshelf.Fingerprint{request}}
-	w.checks[target.Name] = c
-	go w.investigate(c)
+	c := &check{target: target, at: d.Clock.Now(), requests: []shelfshelf.Fingerprint{request}}
+	d.checks[target.Name] = c
+	go d.investigate(c)
 }
 
 // investigate checks one target and records its crash if it has crashed.
-func (w *Detector) investigate(c *check) {
-	crashed := w.refusesConnections(c.target)
+func (d *Detector) investigate(c *check) {
+	crashed := d.refusesConnections(c.target)
 	if !crashed {
-		<-w.Clock.After(recheckDelay)
-		crashed = w.restarted(c.target)
+		<-d.Clock.After(recheckDelay)
+		crashed = d.restarted(c.target)
 	}
-	w.mu.Lock()
-	delete(w.checks, c.target.Name)
+	d.mu.Lock()
+	delete(d.checks, c.target.Name)
 	requests := c.requests
-	w.mu.Unlock()
+	d.mu.Unlock()
 	if !crashed {
-		w.Log.Debug("A response broke off, but its target didn't crash.", "target", c.target.Name, "requests", requests)
+		d.Log.Debug("A response broke off, but its target didn't crash.", "target", c.target.Name, "requests", requests)
 		return
 	}
-	if listed, found := w.Lookup(c.target.Name); !found || listed.Leaving {
-		w.Log.Info("A target that was leaving has ended under requests.", "target", c.target.Name, "requests", requests)
+	if listed, found := d.Lookup(c.target.Name); !found || listed.Leaving {
+		d.Log.Info("A target that was leaving has ended under requests.", "target", c.target.Name, "requests", requests)
 		return
 	}
-	id := w.Record.RecordCrash(c.target, requests, c.at)
-	w.Log.Warn("A target has ended under requests.", "target", c.target.Name, "address", c.target.Address,
+	id := d.Record.RecordCrash(c.target, requests, c.at)
+	d.Log.Warn("A target has ended under requests.", "target", c.target.Name, "address", c.target.Address,
 		"crash", uint64(id), "requests", requests)
 }
 
 // refusesConnections reports whether nothing listens at a target's address. A target that doesn't answer
 // at all may only be unreachable from this instance.
-func (w *Detector) refusesConnections(target shelfshelf.Target) bool {
+func (d *Detector) refusesConnections(target shelfshelf.Target) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
-	return errors.Is(w.Dial(ctx, target.Address), syscall.ECONNREFUSED)
+	return errors.Is(d.Dial(ctx, target.Address), syscall.ECONNREFUSED)
 }
 
 // restarted reports whether another process of a target is listed under its name.
-func (w *Detector) restarted(target shelfshelf.Target) bool {
-	listed, found := w.Lookup(target.Name)
+func (d *Detector) restarted(target shelfshelf.Target) bool {
+	listed, found := d.Lookup(target.Name)
 	return found && !listed.SameIncarnation(target)
 }
--- a/crashes/detector_test.go
+++ b/crashes/detector_test.go
@@ -37,17 +37,17 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			clock := clockwork.NewFakeClock()
-			record := newRecord(clock, "a")
+			tracker := newTracker(clock, "a")
 			lookedUp := make(chan struct{})
-			witness := &crashes.Detector{
-				Clock: clock, Log: log.New(io.Discard), Record: record,
+			detector := &crashes.Detector{
+				Clock: clock, Log: log.New(io.Discard), Record: tracker,
 				Dial: func(context.Context, string) error { return c.reach },
 				Lookup: func(shelfshelf.TargetName) (shelfshelf.Target, bool) {
 					defer func() { lookedUp <- struct{}{} }()
 					return c.listed, !c.missing
 				},
 			}
-			witness.ResponseBroken(shelfshelf.Target{Name: "t", StartedAt: earlier}, poison)
+			detector.ResponseBroken(shelfshelf.Target{Name: "t", StartedAt: earlier}, poison)
 			lookups := 1
 			if !errors.Is(c.reach, syscall.ECONNREFUSED) {
 				if err := clock.BlockUntilContext(t.Context(), 1); err != nil {
@@ -59,10 +59,10 @@
 			for range lookups {
 				<-lookedUp
 			}
-			for end := time.Now().Add(300 * time.Millisecond); len(record.All()) < 1 && time.Now().Before(end); {
+			for end := time.Now().Add(300 * time.Millisecond); len(tracker.All()) < 1 && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
-			if got := len(record.All()); got != c.want {
+			if got := len(tracker.All()); got != c.want {
 				t.Errorf("%d crashes", got)
 			}
 		})
--- a/crashes/quarantine.go
+++ b/crashes/quarantine.go
@@ -37,37 +37,37 @@
 // the details. At the end of a quarantine, one request with the fingerprint is let through as a probe.
 // Each instance does so at a different time, far enough apart that all know the outcome of the previous
 // probe.
-func (r *Tracker) CheckQuarantine(request shelfshelf.Fingerprint, id shelfshelf.RequestID) (Quarantine, bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	b := r.blamed[request]
+func (t *Tracker) CheckQuarantine(request shelfshelf.Fingerprint, id shelfshelf.RequestID) (Quarantine, bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	b := t.blamed[request]
 	if !b.quarantined() {
 		return Quarantine{}, false
 	}
-	now := r.Clock.Now()
-	if remaining := b.lastAt.Add(quarantineTime(b) + r.instanceDelay(request, b)).Sub(now); remaining > 0 {
+	now := t.Clock.Now()
+	if remaining := b.lastAt.Add(quarantineTime(b) + t.instanceDelay(request, b)).Sub(now); remaining > 0 {
 		return Quarantine{Crashes: b.crashes, Remaining: remaining}, true
 	}
-	p, probed := r.probes[request]
+	p, probed := t.probes[request]
 	if probed && p.request != id && now.Sub(p.startedAt) < probeTimeout {
 		return Quarantine{Crashes: b.crashes, Remaining: probeTimeout - now.Sub(p.startedAt)}, true
 	}
 	if !probed || p.request != id {
-		if r.probes == nil {
-			r.probes = make(map[shelfshelf.Fingerprint]probe)
+		if t.probes == nil {
+			t.probes = make(map[shelfshelf.Fingerprint]probe)
 		}
-		r.probes[request] = probe{request: id, startedAt: now}
-		r.Log.Info("A quarantined request is let through as a probe.", "fingerprint", request, "request", id, "ends", b.crashes)
+		t.probes[request] = probe{request: id, startedAt: now}
+		t.Log.Info("A quarantined request is let through as a probe.", "fingerprint", request, "request", id, "ends", b.crashes)
 	}
 	return Quarantine{}, false
 }
 
 // QuarantinedCount returns the number of quarantined requests.
-func (r *Tracker) QuarantinedCount() int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (t *Tracker) QuarantinedCount() int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	count := 0
-	for _, b := range r.blamed {
+	for _, b := range t.blamed {
 		if b.quarantined() {
 			count++
 		}
@@ -85,7 +85,7 @@
 }
 
 // instanceDelay returns how long after the end of a quarantine this instance lets a probe through.
-func (r *Tracker) instanceDelay(request shelfshelf.Fingerprint, b blame) time.Duration {
-	share := float64(xxhash.Sum64String(string(r.Self)+request.String())) / (1 << 64)
+func (t *Tracker) instanceDelay(request shelfshelf.Fingerprint, b blame) time.Duration {
+	share := float64(xxhash.Sum64String(string(t.Self)+request.String())) / (1 << 64)
 	return time.Duration(share * float64(quarantineTime(b)))
 }
--- a/crashes/saver.go
+++ b/crashes/saver.go
@@ -57,136 +57,136 @@
 }
 
 // Init prepares the Saver. Call it before any other method.
-func (k *Saver) Init() {
-	k.mismatchedSince = make(map[shelfshelf.InstanceID]time.Time)
-	k.fetchFrom = make(chan string, 1)
-	k.storeLost = make(chan struct{}, 1)
+func (s *Saver) Init() {
+	s.mismatchedSince = make(map[shelfshelf.InstanceID]time.Time)
+	s.fetchFrom = make(chan string, 1)
+	s.storeLost = make(chan struct{}, 1)
 }
 
 // StoreReset reports that the store may have lost what was saved, as after a restore from an older copy.
-func (k *Saver) StoreReset() {
+func (s *Saver) StoreReset() {
 	select {
-	case k.storeLost <- struct{}{}:
+	case s.storeLost <- struct{}{}:
 	default:
 	}
 }
 
 // Crashes returns all known crashes, for an instance that starts. The error is ErrUnavailable until this
 // instance has loaded the saved ones.
-func (k *Saver) Crashes() ([]shelfshelf.Crash, error) {
-	if !k.loaded.Load() {
+func (s *Saver) Crashes() ([]shelfshelf.Crash, error) {
+	if !s.loaded.Load() {
 		return nil, shelfshelf.ErrUnavailable
 	}
-	return k.Record.All(), nil
+	return s.Record.All(), nil
 }
 
 // CompareHash processes the hash of another instance's crashes.
-func (k *Saver) CompareHash(from shelfshelf.Instance, hash uint64) {
-	same := hash == k.Record.Hash()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	since, differed := k.mismatchedSince[from.ID]
-	now := k.Clock.Now()
+func (s *Saver) CompareHash(from shelfshelf.Instance, hash uint64) {
+	same := hash == s.Record.Hash()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	since, differed := s.mismatchedSince[from.ID]
+	now := s.Clock.Now()
 	switch {
 	case same:
-		delete(k.mismatchedSince, from.ID)
+		delete(s.mismatchedSince, from.ID)
 	case !differed:
-		k.mismatchedSince[from.ID] = now
+		s.mismatchedSince[from.ID] = now
 	case now.Sub(since) >= mismatchTimeout:
-		k.mismatchedSince[from.ID] = now
+		s.mismatchedSince[from.ID] = now
 		select {
-		case k.fetchFrom <- from.Address:
+		case s.fetchFrom <- from.Address:
 		default:
 		}
 	}
 }
 
 // Run loads, saves and fetches crashes until the context ends.
-func (k *Saver) Run(ctx context.Context) error {
-	k.load(ctx)
-	k.loaded.Store(true)
-	return k.loop(ctx)
+func (s *Saver) Run(ctx context.Context) error {
+	s.load(ctx)
+	s.loaded.Store(true)
+	return s.loop(ctx)
 }
 
 // load loads the saved crashes, retrying until it succeeds or the context ends.
-func (k *Saver) load(ctx context.Context) {
+func (s *Saver) load(ctx context.Context) {
 	for ctx.Err() == nil {
-		loaded, err := k.Store.LoadCrashes(ctx)
+		loaded, err := s.Store.LoadCrashes(ctx)
 		if err == nil || errors.Is(err, shelfshelf.ErrNotFound) {
-			k.Record.Merge(loaded, false)
-			k.Log.Info("Loaded the saved crashes of targets.", "crashes", len(loaded))
+			s.Record.Merge(loaded, false)
+			s.Log.Info("Loaded the saved crashes of targets.", "crashes", len(loaded))
 			return
 		}
-		k.Log.Warn("Failed to load the saved crashes of targets; retrying.", "error", err)
+		s.Log.Warn("Failed to load the saved crashes of targets; retrying.", "error", err)
 		select {
 		case <-ctx.Done():
-		case <-k.Clock.After(loadRetryDelay):
+		case <-s.Clock.After(loadRetryDelay):
 		}
 	}
 }
 
-func (k *Saver) loop(ctx context.Context) error {
+func (s *Saver) loop(ctx context.Context) error {
 	var watchUntil time.Time
 	for {
 		var saveDue <-chan time.Time
-		if k.Clock.Now().Before(watchUntil) {
-			saveDue = k.Clock.After(minSaveInterval)
+		if s.Clock.Now().Before(watchUntil) {
+			saveDue = s.Clock.After(minSaveInterval)
 		}
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-k.Record.Changed():
-			watchUntil = k.Clock.Now().Add(saveWatchTime)
-			k.save(ctx)
-		case <-k.storeLost:
-			k.savedHash = 0
-			watchUntil = k.Clock.Now().Add(saveWatchTime)
-			k.save(ctx)
+		case <-s.Record.Changed():
+			watchUntil = s.Clock.Now().Add(saveWatchTime)
+			s.save(ctx)
+		case <-s.storeLost:
+			s.savedHash = 0
+			watchUntil = s.Clock.Now().Add(saveWatchTime)
+			s.save(ctx)
 		case <-saveDue:
-			k.save(ctx)
-		case address := <-k.fetchFrom:
-			k.fetch(ctx, address)
+			s.save(ctx)
+		case address := <-s.fetchFrom:
+			s.fetch(ctx, address)
 		}
 	}
 }
 
 // save saves the suspected crashes if they have changed and this instance is in charge. It logs the first
 // of consecutive failures and the recovery.
-func (k *Saver) save(ctx context.Context) {
-	now := k.Clock.Now()
-	if !k.IsSaver() || now.Sub(k.savedAt) < minSaveInterval {
+func (s *Saver) save(ctx context.Context) {
+	now := s.Clock.Now()
+	if !s.IsSaver() || now.Sub(s.savedAt) < minSaveInterval {
 		return
 	}
-	suspected := k.Record.CrashesToSave()
+	suspected := s.Record.CrashesToSave()
 	hash := hashCrashes(suspected)
-	if hash == k.savedHash {
+	if hash == s.savedHash {
 		return
 	}
-	k.savedAt = now
+	s.savedAt = now
 	ctx, cancel := context.WithTimeout(ctx, saveTimeout)
 	defer cancel()
-	err := k.Store.SaveCrashes(ctx, suspected)
+	err := s.Store.SaveCrashes(ctx, suspected)
 	switch {
-	case err != nil && !k.saveFailing:
-		k.Log.Warn("Failed to save the crashes of targets.", "error", err)
-	case err == nil && k.saveFailing:
-		k.Log.Info("The crashes of targets are saved again.")
+	case err != nil && !s.saveFailing:
+		s.Log.Warn("Failed to save the crashes of targets.", "error", err)
+	case err == nil && s.saveFailing:
+		s.Log.Info("The crashes of targets are saved again.")
 	}
-	k.saveFailing = err != nil
+	s.saveFailing = err != nil
 	if err == nil {
-		k.savedHash = hash
+		s.savedHash = hash
 	}
 }
 
 // fetch merges the crashes known to another instance. The other instances of this data centre may not
 // know them either.
-func (k *Saver) fetch(ctx context.Context, address string) {
+func (s *Saver) fetch(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	fetched, err := k.Fetch(ctx, address)
+	fetched, err := s.Fetch(ctx, address)
 	if err != nil {
-		k.Log.Warn("Failed to fetch another instance's crashes of targets.", "from", address, "error", err)
+		s.Log.Warn("Failed to fetch another instance's crashes of targets.", "from", address, "error", err)
 		return
 	}
-	k.Record.Merge(fetched, true)
+	s.Record.Merge(fetched, true)
 }
--- a/crashes/saver_test.go
+++ b/crashes/saver_test.go
@@ -44,27 +44,27 @@
 	return s.saves
 }
 
-func newKeeper(t *testing.T, s *store, self string, due bool, fetch func() []shelfshelf.Crash) (*crashes.Saver, *crashes.Tracker) {
+func newSaver(t *testing.T, s *store, self string, isSaver bool, fetch func() []shelfshelf.Crash) (*crashes.Saver, *crashes.Tracker) {
 	t.Helper()
 	clock := clockwork.NewRealClock()
-	record := newRecord(clock, self)
-	keeper := &crashes.Saver{
-		Clock: clock, Log: log.New(io.Discard), Record: record, Store: s, IsSaver: func() bool { return due },
+	tracker := newTracker(clock, self)
+	saver := &crashes.Saver{
+		Clock: clock, Log: log.New(io.Discard), Record: tracker, Store: s, IsSaver: func() bool { return isSaver },
 		Fetch: func(context.Context, string) ([]shelfshelf.Crash, error) { return fetch(), nil },
 	}
-	keeper.Init()
+	saver.Init()
 	ctx, cancel := context.WithCancel(t.Context())
 	stopped := make(chan struct{})
 	go func() {
 		defer close(stopped)
-		_ = keeper.Run(ctx)
+		_ = saver.Run(ctx)
 	}()
 	t.Cleanup(func() {
 		cancel()
 		<-stopped
 	})
-	eventually(t, "the saved crashes are loaded", func() bool { _, err := keeper.Crashes(); return err == nil })
-	return keeper, record
+	eventually(t, "the saved crashes are loaded", func() bool { _, err := saver.Crashes(); return err == nil })
+	return saver, tracker
 }
 
 func eventually(t *testing.T, what string, check func() bool) {
@@ -82,8 +82,8 @@
 	t.Parallel()
 	clock := clockwork.NewRealClock()
 	shared := &store{}
-	_, first := newKeeper(t, shared, "a", true, nil)
-	_, other := newKeeper(t, shared, "b", false, nil)
+	_, first := newSaver(t, shared, "a", true, nil)
+	_, other := newSaver(t, shared, "b", false, nil)
 	crashWhileRunning(other, clock, "t0", poison, 7)
 	crashWhileRunning(first, clock, "t0", poison, 7)
 	time.Sleep(50 * time.Millisecond)
@@ -99,11 +99,11 @@
 	if shared.count() > 3 {
 		t.Errorf("%d saves", shared.count())
 	}
-	_, restarted := newKeeper(t, shared, "c", false, nil)
-	if quarantine, held := restarted.CheckQuarantine(poison, "r"); !held || quarantine.Crashes != 3 {
-		t.Errorf("quarantine after a restart: %+v, %t", quarantine, held)
+	_, restarted := newSaver(t, shared, "c", false, nil)
+	if quarantine, quarantined := restarted.CheckQuarantine(poison, "r"); !quarantined || quarantine.Crashes != 3 {
+		t.Errorf("quarantine after a restart: %+v, %t", quarantine, quarantined)
 	}
-	if _, held := restarted.CheckQuarantine(7, "r"); held {
+	if _, quarantined := restarted.CheckQuarantine(7, "r"); quarantined {
 		t.Error("a request that ran beside it is quarantined")
 	}
 }
@@ -112,14 +112,14 @@
 func TestMissedCrashesAreFetched(t *testing.T) {
 	t.Parallel()
 	clock := clockwork.NewRealClock()
-	complete := newRecord(clock, "a")
+	complete := newTracker(clock, "a")
 	for _, name := range []string{"t0", "t1", "t2"} {
 		crashWhileRunning(complete, clock, name, poison)
 	}
-	keeper, lagging := newKeeper(t, &store{}, "b", false, complete.All)
+	saver, lagging := newSaver(t, &store{}, "b", false, complete.All)
 	eventually(t, "the request is quarantined", func() bool {
-		keeper.CompareHash(shelfshelf.Instance{ID: "a", Address: "10.0.0.1:1"}, complete.Hash())
-		_, held := lagging.CheckQuarantine(poison, "r")
-		return held
+		saver.CompareHash(shelfshelf.Instance{ID: "a", Address: "10.0.0.1:1"}, complete.Hash())
+		_, quarantined := lagging.CheckQuarantine(poison, "r")
+		return quarantined
 	})
 }
--- a/crashes/tracker.go
+++ b/crashes/tracker.go
@@ -46,46 +46,46 @@
 }
 
 // Changed returns a channel that receives a value after the known crashes have changed.
-func (r *Tracker) Changed() <-chan struct{} {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.changedChannel()
+func (t *Tracker) Changed() <-chan struct{} {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.changedChannel()
 }
 
-// changedChannel returns the channel of Changed. The caller must hold r.mu.
-func (r *Tracker) changedChannel() chan struct{} {
-	if r.changed == nil {
-		r.changed = make(chan struct{}, 1)
+// changedChannel returns the channel of Changed. The caller must hold t.mu.
+func (t *Tracker) changedChannel() chan struct{} {
+	if t.changed == nil {
+		t.changed = make(chan struct{}, 1)
 	}
-	return r.changed
+	return t.changed
 }
 
 // RecordCrash records that a target crashed at the given time while it was running requests.
-func (r *Tracker) RecordCrash(target shelfshelf.Target, requests []shelfshelf.Fingerprint, at time.Time) shelfshelf.CrashID {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	id := r.crashID(target, at)
-	observed := shelfshelf.Crash{ID: id, Age: r.Clock.Now().Sub(at)}
+func (t *Tracker) RecordCrash(target shelfshelf.Target, requests []shelfshelf.Fingerprint, at time.Time) shelfshelf.CrashID {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	id := t.crashID(target, at)
+	observed := shelfshelf.Crash{ID: id, Age: t.Clock.Now().Sub(at)}
 	for _, request := range requests {
 		observed.Requests = append(observed.Requests, shelfshelf.InFlightRequest{Request: request})
 	}
-	if r.merge(observed, true) {
-		r.reassess()
+	if t.merge(observed, true) {
+		t.reassess()
 	}
 	return id
 }
 
 // crashID returns the ID of the first crash of the target's process, or of a further one if the previous
-// one is too long ago to be the same. The caller must hold r.mu.
-func (r *Tracker) crashID(target shelfshelf.Target, at time.Time) shelfshelf.CrashID {
+// one is too long ago to be the same. The caller must hold t.mu.
+func (t *Tracker) crashID(target shelfshelf.Target, at time.Time) shelfshelf.CrashID {
 	hash := xxhash.New()
 	_, _ = hash.WriteString(string(target.Name))
-	var born [8]byte
-	binary.BigEndian.PutUint64(born[:], uint64(target.StartedAt.UnixMilli()))
-	_, _ = hash.Write(born[:])
+	var startedAt [8]byte
+	binary.BigEndian.PutUint64(startedAt[:], uint64(target.StartedAt.UnixMilli()))
+	_, _ = hash.Write(startedAt[:])
 	for {
 		id := shelfshelf.CrashID(hash.Sum64())
-		c := r.crashes[id]
+		c := t.crashes[id]
 		if c == nil || at.Sub(c.at) < sameCrashWindow {
 			return id
 		}
@@ -95,77 +95,77 @@
 
 // RequestCompleted records that a run of a request completed, so the request didn't cause the earlier crashes of
 // targets that ran it.
-func (r *Tracker) RequestCompleted(request shelfshelf.Fingerprint) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if _, suspected := r.blamed[request]; !suspected {
+func (t *Tracker) RequestCompleted(request shelfshelf.Fingerprint) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if _, suspected := t.blamed[request]; !suspected {
 		return
 	}
-	for id, c := range r.crashes {
+	for id, c := range t.crashes {
 		if cleared, ran := c.runs[request]; ran && !cleared {
-			r.setRun(id, c, request, true)
-			r.markUpdated(id, true)
+			t.setRun(id, c, request, true)
+			t.markUpdated(id, true)
 		}
 	}
-	r.reassess()
+	t.reassess()
 }
 
 // Merge merges crashes received from another instance. unknownLocally means that other instances of this
 // data centre may not have received them.
-func (r *Tracker) Merge(received []shelfshelf.Crash, unknownLocally bool) {
+func (t *Tracker) Merge(received []shelfshelf.Crash, unknownLocally bool) {
 	if len(received) == 0 {
 		return
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	changed := false
 	for _, c := range received {
-		if r.merge(c, unknownLocally) {
+		if t.merge(c, unknownLocally) {
 			changed = true
-			r.Log.Info("Another instance reported a crash of a target.", "crash", uint64(c.ID), "age", c.Age, "runs", len(c.Requests))
+			t.Log.Info("Another instance reported a crash of a target.", "crash", uint64(c.ID), "age", c.Age, "runs", len(c.Requests))
 		}
 	}
 	if changed {
-		r.reassess()
+		t.reassess()
 	}
 }
 
 // merge merges a received crash and reports whether it brought new information. The caller must hold
-// r.mu.
-func (r *Tracker) merge(received shelfshelf.Crash, unknownLocally bool) bool {
+// t.mu.
+func (t *Tracker) merge(received shelfshelf.Crash, unknownLocally bool) bool {
 	if received.Age >= crashRetention {
 		return false
 	}
-	c := r.crashes[received.ID]
+	c := t.crashes[received.ID]
 	changed := c == nil
 	if c == nil {
-		c = &crash{at: r.Clock.Now().Add(-max(received.Age, 0)), runs: make(map[shelfshelf.Fingerprint]bool)}
-		if r.crashes == nil {
-			r.crashes = make(map[shelfshelf.CrashID]*crash)
+		c = &crash{at: t.Clock.Now().Add(-max(received.Age, 0)), runs: make(map[shelfshelf.Fingerprint]bool)}
+		if t.crashes == nil {
+			t.crashes = make(map[shelfshelf.CrashID]*crash)
 		}
-		r.crashes[received.ID] = c
+		t.crashes[received.ID] = c
 	}
 	for _, run := range received.Requests {
 		cleared, ran := c.runs[run.Request]
 		if ran && (cleared || !run.Cleared) || !ran && len(c.runs) >= maxRunsPerCrash {
 			continue
 		}
-		r.setRun(received.ID, c, run.Request, run.Cleared)
+		t.setRun(received.ID, c, run.Request, run.Cleared)
 		changed = true
 	}
 	if changed {
-		r.markUpdated(received.ID, unknownLocally)
+		t.markUpdated(received.ID, unknownLocally)
 	}
 	return changed
 }
 
-// setRun sets a run of a crash and updates the hash. The caller must hold r.mu.
-func (r *Tracker) setRun(id shelfshelf.CrashID, c *crash, request shelfshelf.Fingerprint, cleared bool) {
+// setRun sets a run of a crash and updates the hash. The caller must hold t.mu.
+func (t *Tracker) setRun(id shelfshelf.CrashID, c *crash, request shelfshelf.Fingerprint, cleared bool) {
 	if before, ran := c.runs[request]; ran {
-		r.hash ^= hashRun(id, request, before)
+		t.hash ^= hashRun(id, request, before)
 	}
 	c.runs[request] = cleared
-	r.hash ^= hashRun(id, request, cleared)
+	t.hash ^= hashRun(id, request, cleared)
 }
 
 // hashRun returns a run's part of the hash of all runs.
@@ -190,78 +190,78 @@
 	return hash
 }
 
-// markUpdated marks a crash to be sent to other instances. The caller must hold r.mu.
-func (r *Tracker) markUpdated(id shelfshelf.CrashID, unknownLocally bool) {
-	if r.updates == nil {
-		r.updates = make(map[shelfshelf.CrashID]update)
+// markUpdated marks a crash to be sent to other instances. The caller must hold t.mu.
+func (t *Tracker) markUpdated(id shelfshelf.CrashID, unknownLocally bool) {
+	if t.updates == nil {
+		t.updates = make(map[shelfshelf.CrashID]update)
 	}
-	r.updates[id] = update{at: r.Clock.Now(), unknownLocally: unknownLocally || r.updates[id].unknownLocally}
+	t.updates[id] = update{at: t.Clock.Now(), unknownLocally: unknownLocally || t.updates[id].unknownLocally}
 }
 
 // reassess removes expired crashes, assigns blame again and signals the change. The caller must hold
-// r.mu.
-func (r *Tracker) reassess() {
-	r.removeExpired()
-	blamed := assignBlame(r.crashes)
+// t.mu.
+func (t *Tracker) reassess() {
+	t.removeExpired()
+	blamed := assignBlame(t.crashes)
 	for request, b := range blamed {
-		if b.quarantined() && !r.blamed[request].quarantined() {
-			r.Log.Warn("A request is quarantined.", "fingerprint", request, "ends", b.crashes,
+		if b.quarantined() && !t.blamed[request].quarantined() {
+			t.Log.Warn("A request is quarantined.", "fingerprint", request, "ends", b.crashes,
 				"unexplained", b.unexplained, "for", quarantineTime(b))
 		}
 	}
-	for request, b := range r.blamed {
+	for request, b := range t.blamed {
 		if b.quarantined() && !blamed[request].quarantined() {
-			r.Log.Info("A request is no longer quarantined.", "fingerprint", request,
+			t.Log.Info("A request is no longer quarantined.", "fingerprint", request,
 				"ends", blamed[request].crashes, "unexplained", blamed[request].unexplained)
-			delete(r.probes, request)
+			delete(t.probes, request)
 		}
 	}
-	r.blamed = blamed
+	t.blamed = blamed
 	select {
-	case r.changedChannel() <- struct{}{}:
+	case t.changedChannel() <- struct{}{}:
 	default:
 	}
 }
 
 // removeExpired removes crashes that are too old or too many, and old updates. The caller must hold
-// r.mu.
-func (r *Tracker) removeExpired() {
-	now := r.Clock.Now()
-	for id, c := range r.crashes {
+// t.mu.
+func (t *Tracker) removeExpired() {
+	now := t.Clock.Now()
+	for id, c := range t.crashes {
 		if now.Sub(c.at) >= crashRetention {
-			r.remove(id)
+			t.remove(id)
 		}
 	}
-	for id, u := range r.updates {
+	for id, u := range t.updates {
 		if now.Sub(u.at) >= updateLifetime {
-			delete(r.updates, id)
+			delete(t.updates, id)
 		}
 	}
-	if len(r.crashes) <= maxCrashes {
+	if len(t.crashes) <= maxCrashes {
 		return
 	}
-	for _, id := range r.newestFirst()[maxCrashes:] {
-		r.remove(id)
+	for _, id := range t.newestFirst()[maxCrashes:] {
+		t.remove(id)
 	}
 }
 
-// remove removes a crash. The caller must hold r.mu.
-func (r *Tracker) remove(id shelfshelf.CrashID) {
-	for request, cleared := range r.crashes[id].runs {
-		r.hash ^= hashRun(id, request, cleared)
+// remove removes a crash. The caller must hold t.mu.
+func (t *Tracker) remove(id shelfshelf.CrashID) {
+	for request, cleared := range t.crashes[id].runs {
+		t.hash ^= hashRun(id, request, cleared)
 	}
-	delete(r.crashes, id)
-	delete(r.updates, id)
+	delete(t.crashes, id)
+	delete(t.updates, id)
 }
 
-// newestFirst returns the IDs of all crashes, those of the newest first. The caller must hold r.mu.
-func (r *Tracker) newestFirst() []shelfshelf.CrashID {
-	ids := make([]shelfshelf.CrashID, 0, len(r.crashes))
-	for id := range r.crashes {
+// newestFirst returns the IDs of all crashes, those of the newest first. The caller must hold t.mu.
+func (t *Tracker) newestFirst() []shelfshelf.CrashID {
+	ids := make([]shelfshelf.CrashID, 0, len(t.crashes))
+	for id := range t.crashes {
 		ids = append(ids, id)
 	}
 	slices.SortFunc(ids, func(a, b shelfshelf.CrashID) int {
-		return cmp.Or(r.crashes[b].at.Compare(r.crashes[a].at), cmp.Compare(a, b))
+		return cmp.Or(t.crashes[b].at.Compare(t.crashes[a].at), cmp.Compare(a, b))
 	})
 	return ids
 }
--- a/crashes/tracker_test.go
+++ b/crashes/tracker_test.go
@@ -17,7 +17,7 @@
 // poison is a request that crashes every target.
 const poison = shelfshelf.Fingerprint(1)
 
-func newRecord(clock shelfshelf.Clock, self string) *crashes.Tracker {
+func newTracker(clock shelfshelf.Clock, self string) *crashes.Tracker {
 	return &crashes.Tracker{Clock: clock, Log: log.New(io.Discard), Self: shelfshelf.InstanceID(self)}
 }
 
@@ -32,13 +32,13 @@
 
 // Trackers converge after a full exchange between instances, even if each saw only a part of the same
 // crashes, updates were lost or reordered, and each learnt of other completed runs.
-func TestRecordsConverge(t *testing.T) {
+func TestTrackersConverge(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		clock := clockwork.NewFakeClock()
-		records := []*crashes.Tracker{newRecord(clock, "a"), newRecord(clock, "b"), newRecord(clock, "c")}
+		trackers := []*crashes.Tracker{newTracker(clock, "a"), newTracker(clock, "b"), newTracker(clock, "c")}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			r := records[rapid.IntRange(0, 2).Draw(t, "at")]
+			r := trackers[rapid.IntRange(0, 2).Draw(t, "at")]
 			request := shelfshelf.Fingerprint(rapid.IntRange(1, 6).Draw(t, "request"))
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
@@ -48,19 +48,19 @@
 			case 3:
 				news := r.Updates(true)
 				if len(news) > 0 && rapid.Bool().Draw(t, "comes") {
-					records[rapid.IntRange(0, 2).Draw(t, "to")].Merge(news, rapid.Bool().Draw(t, "wide"))
+					trackers[rapid.IntRange(0, 2).Draw(t, "to")].Merge(news, rapid.Bool().Draw(t, "wide"))
 				}
 			}
 			clock.Advance(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
 		}
 		for range 2 {
-			for i, r := range records {
-				r.Merge(records[(i+1)%len(records)].All(), true)
+			for i, r := range trackers {
+				r.Merge(trackers[(i+1)%len(trackers)].All(), true)
 			}
 		}
-		for _, r := range records[1:] {
-			if r.Hash() != records[0].Hash() || r.QuarantinedCount() != records[0].QuarantinedCount() {
-				t.Fatalf("trackers differ: %v and %v", records[0].All(), r.All())
+		for _, r := range trackers[1:] {
+			if r.Hash() != trackers[0].Hash() || r.QuarantinedCount() != trackers[0].QuarantinedCount() {
+				t.Fatalf("trackers differ: %v and %v", trackers[0].All(), r.All())
 			}
 		}
 	})
@@ -69,15 +69,15 @@
 func TestSameCrashCountsOnce(t *testing.T) {
 	t.Parallel()
 	clock := clockwork.NewFakeClock()
-	a, b := newRecord(clock, "a"), newRecord(clock, "b")
+	a, b := newTracker(clock, "a"), newTracker(clock, "b")
 	for i := range 3 {
 		// Both instances see the crash, each through its own request, the second one 20 ms later.
 		crashWhileRunning(a, clock, "t1", poison)
 		clock.Advance(20 * time.Millisecond)
 		crashWhileRunning(b, clock, "t1", poison)
 		b.Merge(a.Updates(true), false)
-		if _, held := b.CheckQuarantine(poison, "r"); held != (i == 2) {
-			t.Errorf("quarantined after %d crashes: %t", i+1, held)
+		if _, quarantined := b.CheckQuarantine(poison, "r"); quarantined != (i == 2) {
+			t.Errorf("quarantined after %d crashes: %t", i+1, quarantined)
 		}
 		// The target restarts under its name.
 		clock.Advance(3 * time.Second)
@@ -88,15 +88,15 @@
 func TestCrashesOfEachProcessCount(t *testing.T) {
 	t.Parallel()
 	clock := clockwork.NewFakeClock()
-	r := newRecord(clock, "a")
+	r := newTracker(clock, "a")
 	for process := range 3 {
 		restarted := target("t1")
 		restarted.StartedAt = time.UnixMilli(int64(1000 + process))
 		r.RecordCrash(restarted, []shelfshelf.Fingerprint{poison}, clock.Now())
 		clock.Advance(300 * time.Millisecond)
 	}
-	if quarantine, held := r.CheckQuarantine(poison, "r"); !held || quarantine.Crashes != 3 {
-		t.Errorf("%+v %t", quarantine, held)
+	if quarantine, quarantined := r.CheckQuarantine(poison, "r"); !quarantined || quarantine.Crashes != 3 {
+		t.Errorf("%+v %t", quarantine, quarantined)
 	}
 }
 
@@ -105,24 +105,24 @@
 func TestQuarantineEndsWithOneProbe(t *testing.T) {
 	t.Parallel()
 	clock := clockwork.NewFakeClock()
-	records := []*crashes.Tracker{newRecord(clock, "a"), newRecord(clock, "b"), newRecord(clock, "c")}
+	trackers := []*crashes.Tracker{newTracker(clock, "a"), newTracker(clock, "b"), newTracker(clock, "c")}
 	for i := range 3 {
-		crashWhileRunning(records[0], clock, fmt.Sprint("t", i), poison)
+		crashWhileRunning(trackers[0], clock, fmt.Sprint("t", i), poison)
 	}
-	for _, r := range records[1:] {
-		r.Merge(records[0].Updates(true), true)
+	for _, r := range trackers[1:] {
+		r.Merge(trackers[0].Updates(true), true)
 	}
 	crashCount := 3
 	for range 20_000 {
 		clock.Advance(10 * time.Second)
 		var news []shelfshelf.Crash
-		for i, r := range records {
+		for i, r := range trackers {
 			for caller := range 3 {
 				id := shelfshelf.RequestID(fmt.Sprint("r", i, "-", caller))
-				if _, held := r.CheckQuarantine(poison, id); held {
+				if _, quarantined := r.CheckQuarantine(poison, id); quarantined {
 					continue
 				}
-				if _, held := r.CheckQuarantine(poison, id); held {
+				if _, quarantined := r.CheckQuarantine(poison, id); quarantined {
 					t.Fatal("the probe is quarantined right before it is sent")
 				}
 				crashCount++
@@ -130,9 +130,9 @@
 				news = r.Updates(true)
 			}
 		}
-		for _, r := range records {
+		for _, r := range trackers {
 			r.Merge(news, true)
-			r.Merge(records[0].All(), true)
+			r.Merge(trackers[0].All(), true)
 		}
 	}
 	// In 55 hours there is time for eight quarantines of 10, 20, 40, ... 1,280 minutes, or fewer because
@@ -147,31 +147,31 @@
 func TestCompletedProbeEndsQuarantine(t *testing.T) {
 	t.Parallel()
 	clock := clockwork.NewFakeClock()
-	r := newRecord(clock, "a")
+	r := newTracker(clock, "a")
 	for i := range 3 {
 		crashWhileRunning(r, clock, fmt.Sprint("t", i), poison)
 	}
-	quarantine, held := r.CheckQuarantine(poison, "r1")
-	if !held || quarantine.Remaining < 10*time.Minute || quarantine.Remaining > 20*time.Minute || r.QuarantinedCount() != 1 {
-		t.Fatalf("%+v %t", quarantine, held)
+	quarantine, quarantined := r.CheckQuarantine(poison, "r1")
+	if !quarantined || quarantine.Remaining < 10*time.Minute || quarantine.Remaining > 20*time.Minute || r.QuarantinedCount() != 1 {
+		t.Fatalf("%+v %t", quarantine, quarantined)
 	}
 	clock.Advance(quarantine.Remaining)
-	if _, held := r.CheckQuarantine(poison, "r1"); held {
+	if _, quarantined := r.CheckQuarantine(poison, "r1"); quarantined {
 		t.Fatal("still quarantined")
 	}
 	r.RequestCompleted(poison)
 	for _, id := range []shelfshelf.RequestID{"r2", "r3"} {
-		if _, held := r.CheckQuarantine(poison, id); held {
+		if _, quarantined := r.CheckQuarantine(poison, id); quarantined {
 			t.Errorf("%s is quarantined", id)
 		}
 	}
 }
 
 // The number of crashes in a status and in a tracker is bounded.
-func TestRecordsAreBounded(t *testing.T) {
+func TestTrackersAreBounded(t *testing.T) {
 	t.Parallel()
 	clock := clockwork.NewFakeClock()
-	r := newRecord(clock, "a")
+	r := newTracker(clock, "a")
 	for i := range 1200 {
 		var requests []shelfshelf.Fingerprint
 		for j := range 300 {
@@ -199,7 +199,7 @@
 	if all := r.All(); len(all) != 1 {
 		t.Errorf("%d crashes are remembered after eight days", len(all))
 	}
-	fresh := newRecord(clock, "b")
+	fresh := newTracker(clock, "b")
 	fresh.Merge(r.All(), false)
 	if fresh.Hash() != r.Hash() {
 		t.Error("removed crashes still count in the hash")
--- a/crashes/updates.go
+++ b/crashes/updates.go
@@ -27,20 +27,20 @@
 
 // Updates returns the recently updated crashes, as many as fit into a status. Unless all is set, it leaves
 // out those that the other instances of this data centre received from the same source.
-func (r *Tracker) Updates(all bool) []shelfshelf.Crash {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if len(r.updates) == 0 {
+func (t *Tracker) Updates(all bool) []shelfshelf.Crash {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if len(t.updates) == 0 {
 		return nil
 	}
-	now := r.Clock.Now()
+	now := t.Clock.Now()
 	var sent []shelfshelf.Crash
 	bytesLeft := maxUpdateBytes
-	for id, u := range r.updates {
+	for id, u := range t.updates {
 		if now.Sub(u.at) >= updateLifetime || !all && !u.unknownLocally {
 			continue
 		}
-		next := r.crashes[id].export(id, now)
+		next := t.crashes[id].export(id, now)
 		if bytesLeft -= wireSize(next); bytesLeft < 0 && len(sent) > 0 {
 			break
 		}
@@ -60,35 +60,35 @@
 }
 
 // All returns all known crashes, the newest first.
-func (r *Tracker) All() []shelfshelf.Crash {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	now := r.Clock.Now()
+func (t *Tracker) All() []shelfshelf.Crash {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.Clock.Now()
 	var all []shelfshelf.Crash
-	for _, id := range r.newestFirst() {
-		all = append(all, r.crashes[id].export(id, now))
+	for _, id := range t.newestFirst() {
+		all = append(all, t.crashes[id].export(id, now))
 	}
 	return all
 }
 
 // Hash returns a hash of the runs of all crashes. It is equal for trackers that know the same runs.
-func (r *Tracker) Hash() uint64 {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.hash
+func (t *Tracker) Hash() uint64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.hash
 }
 
 // CrashesToSave returns the crashes, the newest first, with only the runs that matter after a restart of all
 // instances.
-func (r *Tracker) CrashesToSave() []shelfshelf.Crash {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	now := r.Clock.Now()
+func (t *Tracker) CrashesToSave() []shelfshelf.Crash {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.Clock.Now()
 	var suspected []shelfshelf.Crash
-	for _, id := range r.newestFirst() {
-		saved := shelfshelf.Crash{ID: id, Age: now.Sub(r.crashes[id].at)}
-		for request, cleared := range r.crashes[id].runs {
-			if !cleared && r.blamed[request].crashes >= minSavedCrashes {
+	for _, id := range t.newestFirst() {
+		saved := shelfshelf.Crash{ID: id, Age: now.Sub(t.crashes[id].at)}
+		for request, cleared := range t.crashes[id].runs {
+			if !cleared && t.blamed[request].crashes >= minSavedCrashes {
 				saved.Requests = append(saved.Requests, shelfshelf.InFlightRequest{Request: request})
 			}
 		}
