--- a/evacuation/tracker.go
+++ b/evacuation/tracker.go
@@ -37,83 +37,83 @@
 }
 
 // Known reports whether any information about evacuations has been received.
-func (r *Tracker) Known() bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.asOf > 0
+func (t *Tracker) Known() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.asOf > 0
 }
 
 // ApplyStoreUpdate applies the result of reading the store. An incremental update must start at or before the
 // position up to which the caller has already applied updates, through ApplyStoreUpdate or Merge.
-func (r *Tracker) ApplyStoreUpdate(update shelfshelf.EvacuationUpdate) {
-	r.apply(update, storeSource)
+func (t *Tracker) ApplyStoreUpdate(update shelfshelf.EvacuationUpdate) {
+	t.apply(update, storeSource)
 }
 
 // Merge merges the state received from another instance.
-func (r *Tracker) Merge(known shelfshelf.EvacuationState, from string) {
-	r.apply(shelfshelf.EvacuationUpdate{Full: true, Started: known.DataCentres, AsOf: known.AsOf}, from)
+func (t *Tracker) Merge(known shelfshelf.EvacuationState, from string) {
+	t.apply(shelfshelf.EvacuationUpdate{Full: true, Started: known.DataCentres, AsOf: known.AsOf}, from)
 }
 
 // apply merges an update if its store position is newer than that of the current state.
-func (r *Tracker) apply(update shelfshelf.EvacuationUpdate, from string) {
-	r.mu.Lock()
-	if update.AsOf <= r.asOf {
-		r.mu.Unlock()
+func (t *Tracker) apply(update shelfshelf.EvacuationUpdate, from string) {
+	t.mu.Lock()
+	if update.AsOf <= t.asOf {
+		t.mu.Unlock()
 		return
 	}
 	stored := slices.Clone(update.Started)
 	if !update.Full {
-		stored = append(stored, slices.DeleteFunc(slices.Clone(r.stored), func(centre shelfshelf.DataCentre) bool {
+		stored = append(stored, slices.DeleteFunc(slices.Clone(t.stored), func(centre shelfshelf.DataCentre) bool {
 			return slices.Contains(update.Ended, centre)
 		})...)
 	}
-	if r.asOf > 0 && shelfshelf.EraOf(update.AsOf) > shelfshelf.EraOf(r.asOf) {
-		r.retainMissing(stored)
+	if t.asOf > 0 && shelfshelf.EraOf(update.AsOf) > shelfshelf.EraOf(t.asOf) {
+		t.retainMissing(stored)
 	}
 	slices.Sort(stored)
-	r.stored = slices.Compact(stored)
-	r.asOf = update.AsOf
-	r.mu.Unlock()
-	r.notifyIfChanged(from)
+	t.stored = slices.Compact(stored)
+	t.asOf = update.AsOf
+	t.mu.Unlock()
+	t.notifyIfChanged(from)
 }
 
 // retainMissing keeps the current evacuations that the restored copy lacks until the grace period
-// ends. The caller must hold r.mu.
-func (r *Tracker) retainMissing(restored []shelfshelf.DataCentre) {
-	expiry := r.Clock.Now().Add(restoreGrace)
-	for _, centre := range r.stored {
+// ends. The caller must hold t.mu.
+func (t *Tracker) retainMissing(restored []shelfshelf.DataCentre) {
+	expiry := t.Clock.Now().Add(restoreGrace)
+	for _, centre := range t.stored {
 		if slices.Contains(restored, centre) {
 			continue
 		}
-		if r.retained == nil {
-			r.retained = make(map[shelfshelf.DataCentre]time.Time)
+		if t.retained == nil {
+			t.retained = make(map[shelfshelf.DataCentre]time.Time)
 		}
-		r.retained[centre] = expiry
+		t.retained[centre] = expiry
 	}
 }
 
 // Snapshot returns the snapshot to send to other instances: the store's state, without retained evacuations.
 // It is called many times a second, so it also serves to expire retained evacuations.
-func (r *Tracker) Snapshot() shelfshelf.EvacuationState {
-	r.notifyIfChanged(storeSource)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return shelfshelf.EvacuationState{DataCentres: r.stored, AsOf: r.asOf}
+func (t *Tracker) Snapshot() shelfshelf.EvacuationState {
+	t.notifyIfChanged(storeSource)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return shelfshelf.EvacuationState{DataCentres: t.stored, AsOf: t.asOf}
 }
 
 // effective returns the data centres whose targets get no new requests, and drops expired retained
-// evacuations. The caller must hold r.mu.
-func (r *Tracker) effective() []shelfshelf.DataCentre {
-	if len(r.retained) == 0 {
-		return r.stored
+// evacuations. The caller must hold t.mu.
+func (t *Tracker) effective() []shelfshelf.DataCentre {
+	if len(t.retained) == 0 {
+		return t.stored
 	}
-	now := r.Clock.Now()
-	all := slices.Clone(r.stored)
-	for centre, expiry := range r.retained {
+	now := t.Clock.Now()
+	all := slices.Clone(t.stored)
+	for centre, expiry := range t.retained {
 		if now.Before(expiry) {
 			all = append(all, centre)
 		} else {
-			delete(r.retained, centre)
+			delete(t.retained, centre)
 		}
 	}
 	slices.Sort(all)
@@ -121,24 +121,24 @@
 }
 
 // notifyIfChanged calls OnChange if the set of evacuated data centres has changed. The caller must not
-// hold r.mu.
-func (r *Tracker) notifyIfChanged(from string) {
-	r.mu.Lock()
-	evacuated := r.effective()
-	changed := !slices.Equal(evacuated, r.reported)
-	r.reported = evacuated
-	asOf := r.asOf
-	r.mu.Unlock()
+// hold t.mu.
+func (t *Tracker) notifyIfChanged(from string) {
+	t.mu.Lock()
+	evacuated := t.effective()
+	changed := !slices.Equal(evacuated, t.reported)
+	t.reported = evacuated
+	asOf := t.asOf
+	t.mu.Unlock()
 	if !changed {
 		return
 	}
-	r.Log.Info("Evacuated data centres have changed.", "evacuated", evacuated, "asOf", asOf, "from", from)
-	r.OnChange(evacuated)
+	t.Log.Info("Evacuated data centres have changed.", "evacuated", evacuated, "asOf", asOf, "from", from)
+	t.OnChange(evacuated)
 }
 
 // Count returns the number of evacuated data centres.
-func (r *Tracker) Count() int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return len(r.reported)
+func (t *Tracker) Count() int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return len(t.reported)
 }
