--- a/gossip/aggregate.go
+++ b/gossip/aggregate.go
@@ -209,15 +209,15 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.Clock.Now()
-	known, heard := 1, 1
+	known, live := 1, 1
 	for _, p := range n.peers {
 		if !n.isLocal(p.instance) || p.dormant || p.instance.State == shelfshelf.InstanceLeaving {
 			continue
 		}
 		known++
 		if n.isLive(p, now) {
-			heard++
+			live++
 		}
 	}
-	return float64(heard) / float64(known)
+	return float64(live) / float64(known)
 }
--- a/gossip/directory_test.go
+++ b/gossip/directory_test.go
@@ -130,7 +130,7 @@
 }
 
 // At the start, the directory alone determines which instances come before this one.
-func TestStartedCountsPrecedingInstances(t *testing.T) {
+func TestStartupStateCountsPrecedingInstances(t *testing.T) {
 	t.Parallel()
 	clock := clockwork.NewFakeClock()
 	n := &Node{Clock: clock, Log: log.New(io.Discard), Self: shelfshelf.Instance{ID: "m", DataCentre: "dc", LinkMbps: 20}}
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -162,7 +162,7 @@
 			continue
 		}
 		if n.HandleDatagram != nil && size > 0 && buffer[0] == n.DatagramMarker {
-			n.handleOther(buffer[:size], from)
+			n.handleDatagram(buffer[:size], from)
 			continue
 		}
 		m, err := decode(buffer[:size])
@@ -174,8 +174,8 @@
 	}
 }
 
-// handleOther passes a datagram of another protocol to HandleDatagram.
-func (n *Node) handleOther(content []byte, from net.Addr) {
+// handleDatagram passes a datagram of another protocol to HandleDatagram.
+func (n *Node) handleDatagram(content []byte, from net.Addr) {
 	if sender, ok := from.(*net.UDPAddr); ok {
 		address := sender.AddrPort()
 		n.HandleDatagram(content, netip.AddrPortFrom(address.Addr().Unmap(), address.Port()))
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -110,9 +110,9 @@
 	node *Node
 	id   shelfshelf.InstanceID
 
-	mu      sync.Mutex
-	heard   map[shelfshelf.InstanceID]time.Time
-	digests map[shelfshelf.DataCentre]int
+	mu         sync.Mutex
+	receivedAt map[shelfshelf.InstanceID]time.Time
+	digests    map[shelfshelf.DataCentre]int
 }
 
 func (m *testInstance) Status() shelfshelf.Status {
@@ -129,7 +129,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !at.IsZero() {
-		m.heard[status.From.ID] = at
+		m.receivedAt[status.From.ID] = at
 	}
 }
 
@@ -165,7 +165,7 @@
 		t.Fatal(err)
 	}
 	m = &testInstance{
-		id: shelfshelf.InstanceID(id), heard: make(map[shelfshelf.InstanceID]time.Time),
+		id: shelfshelf.InstanceID(id), receivedAt: make(map[shelfshelf.InstanceID]time.Time),
 		digests: make(map[shelfshelf.DataCentre]int),
 	}
 	m.node = &Node{
@@ -241,7 +241,7 @@
 	eventually(t, "no status with a recent time bound was received", func() bool {
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		at := a.heard["a1"]
+		at := a.receivedAt["a1"]
 		return !at.IsZero() && time.Since(at) < time.Second && !at.After(time.Now())
 	})
 }
--- a/gossip/wire.go
+++ b/gossip/wire.go
@@ -78,8 +78,8 @@
 		Settled         bool
 		Recalled        bool
 		Loads           []wireLoad
-		Uses            []wireUse
-		EndedUses       []wireUse
+		Uses            []wireUsage
+		EndedUses       []wireUsage
 		Speeds          []wireSpeed
 		CrashesHash     uint64
 		Crashes         []crashes.Wire
@@ -98,7 +98,7 @@
 		Settled    bool
 		Members    []wireMember
 		Loads      []wireLoad
-		Uses       []wireUse
+		Uses       []wireUsage
 		Speeds     []wireSpeed
 	}
 	wireMember struct {
@@ -120,7 +120,7 @@
 		Prefilling    int
 		PrefillTokens int
 	}
-	wireUse struct {
+	wireUsage struct {
 		_        struct{} `cbor:",toarray"`
 		Customer uint32
 		Amount   int64
@@ -170,8 +170,8 @@
 		Settled:         s.WindowObserved,
 		Recalled:        s.UsageRestored,
 		Loads:           loadsToWire(s.Loads),
-		Uses:            usesToWire(s.Usage),
-		EndedUses:       usesToWire(s.EndedUsage),
+		Uses:            usageToWire(s.Usage),
+		EndedUses:       usageToWire(s.EndedUsage),
 		Speeds:          speedsToWire(s.Speeds),
 		CrashesHash:     s.CrashesHash,
 		Crashes:         crashes.ToWire(s.Crashes),
@@ -189,7 +189,7 @@
 			Settled:    digest.WindowObserved,
 			Members:    membersToWire(digest.Members),
 			Loads:      loadsToWire(digest.Loads),
-			Uses:       usesToWire(digest.Usage),
+			Uses:       usageToWire(digest.Usage),
 			Speeds:     speedsToWire(digest.Speeds),
 		})
 	}
@@ -225,8 +225,8 @@
 			WindowObserved:   wire.Settled,
 			UsageRestored:    wire.Recalled,
 			Loads:            loadsFromWire(wire.Loads),
-			Usage:            usesFromWire(wire.Uses),
-			EndedUsage:       usesFromWire(wire.EndedUses),
+			Usage:            usageFromWire(wire.Uses),
+			EndedUsage:       usageFromWire(wire.EndedUses),
 			Speeds:           speedsFromWire(wire.Speeds),
 			CrashesHash:      wire.CrashesHash,
 			Crashes:          crashes.FromWire(wire.Crashes),
@@ -247,7 +247,7 @@
 			WindowObserved: digest.Settled,
 			Members:        membersFromWire(digest.Members),
 			Loads:          loadsFromWire(digest.Loads),
-			Usage:          usesFromWire(digest.Uses),
+			Usage:          usageFromWire(digest.Uses),
 			Speeds:         speedsFromWire(digest.Speeds),
 		})
 	}
@@ -319,20 +319,20 @@
 	return loads
 }
 
-func usesToWire(uses []shelfshelf.CustomerUsage) []wireUse {
-	wire := make([]wireUse, len(uses))
-	for i, use := range uses {
-		wire[i] = wireUse{Customer: uint32(use.Customer), Amount: int64(use.Amount)}
+func usageToWire(usage []shelfshelf.CustomerUsage) []wireUsage {
+	wire := make([]wireUsage, len(usage))
+	for i, use := range usage {
+		wire[i] = wireUsage{Customer: uint32(use.Customer), Amount: int64(use.Amount)}
 	}
 	return wire
 }
 
-func usesFromWire(wire []wireUse) []shelfshelf.CustomerUsage {
-	uses := make([]shelfshelf.CustomerUsage, len(wire))
+func usageFromWire(wire []wireUsage) []shelfshelf.CustomerUsage {
+	usage := make([]shelfshelf.CustomerUsage, len(wire))
 	for i, use := range wire {
-		uses[i] = shelfshelf.CustomerUsage{Customer: shelfshelf.CustomerKey(use.Customer), Amount: float64(use.Amount)}
+		usage[i] = shelfshelf.CustomerUsage{Customer: shelfshelf.CustomerKey(use.Customer), Amount: float64(use.Amount)}
 	}
-	return uses
+	return usage
 }
 
 func speedsToWire(speeds []shelfshelf.TargetSpeed) []wireSpeed {
