--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -84,9 +84,9 @@
 	// retainedUntil holds the targets that are missing from the source's list but still used, with the
 	// time until which they are.
 	retainedUntil map[shelfshelf.TargetName]time.Time
-	// unreadable holds the entries of the list that don't decode to a usable target, with the decoding
+	// invalid holds the entries of the list that don't decode to a usable target, with the decoding
 	// error.
-	unreadable map[shelfshelf.TargetName]string
+	invalid map[shelfshelf.TargetName]string
 	// expiryWake wakes runExpiry when there is a new retained target or suspect.
 	expiryWake chan struct{}
 	// configurationValidAt and targetsValidAt are the latest times at which the data is known to have
@@ -319,8 +319,8 @@
 	c.index = index
 	c.configurationValidAt = validAt
 	c.mu.Unlock()
-	for _, flaw := range configuration.InvalidFields {
-		c.Log.Error("A configuration field can't be decoded.", "revision", configuration.Revision, "place", flaw.Field, "error", flaw.Reason, "effect", flaw.Effect)
+	for _, invalid := range configuration.InvalidFields {
+		c.Log.Error("A configuration field can't be decoded.", "revision", configuration.Revision, "place", invalid.Field, "error", invalid.Reason, "effect", invalid.Effect)
 	}
 	c.Log.Info("Applied a configuration.", "revision", configuration.Revision, "from", from,
 		"age", c.Clock.Now().Sub(validAt), "bytes", len(configuration.Encoded), "routes", len(configuration.Bundle.Routes), "customers", len(configuration.Bundle.Customers))
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -335,7 +335,7 @@
 }
 
 // OnChange is called when a retained target expires, although the source reports nothing new.
-func TestExpiryOfRetainedTargetCallsChanged(t *testing.T) {
+func TestExpiryOfRetainedTargetCallsOnChange(t *testing.T) {
 	both := []shelfshelf.Target{{Name: "a", Address: "x"}, {Name: "b", Address: "y"}}
 	s := &fakeSource{revision: 5, targets: both}
 	c := &catalog.Catalog{Source: s}
