--- a/rollout/choose.go
+++ b/rollout/choose.go
@@ -20,7 +20,7 @@
 }
 
 // SetTargets sets the list of targets as of a position of the store.
-func (r *Tracker) SetTargets(targets []shelfshelf.Target, position uint64) {
+func (t *Tracker) SetTargets(targets []shelfshelf.Target, position uint64) {
 	counts := make(map[shelfshelf.PoolName]map[shelfshelf.TargetVersion]int)
 	for _, target := range targets {
 		if counts[target.Pool] == nil {
@@ -28,20 +28,20 @@
 		}
 		counts[target.Pool][target.Version]++
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.targetCounts = counts
-	now := r.Clock.Now()
-	if r.firstSeen == nil {
-		r.firstSeen = make(map[shelfshelf.PoolName]map[shelfshelf.TargetVersion]sighting)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.targetCounts = counts
+	now := t.Clock.Now()
+	if t.firstSeen == nil {
+		t.firstSeen = make(map[shelfshelf.PoolName]map[shelfshelf.TargetVersion]sighting)
 	}
 	for pool, poolCounts := range counts {
-		known := r.firstSeen[pool]
+		known := t.firstSeen[pool]
 		if known == nil {
 			known = make(map[shelfshelf.TargetVersion]sighting)
 			// The version of most targets when the pool is first seen is the one that serves.
 			known[mostCommon(poolCounts)] = sighting{}
-			r.firstSeen[pool] = known
+			t.firstSeen[pool] = known
 		}
 		for name := range poolCounts {
 			if _, seen := known[name]; !seen {
@@ -63,36 +63,36 @@
 }
 
 // Choose returns which targets the next request of a pool may go to.
-func (r *Tracker) Choose(pool shelfshelf.PoolName, targets []shelfshelf.Target) shelfshelf.VersionChoice {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	unconfirmed := r.unconfirmed(pool)
-	tracked := r.rollouts[pool]
+func (t *Tracker) Choose(pool shelfshelf.PoolName, targets []shelfshelf.Target) shelfshelf.VersionChoice {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	unconfirmed := t.unconfirmed(pool)
+	tracked := t.rollouts[pool]
 	if tracked == nil {
 		return shelfshelf.VersionChoice{Active: len(unconfirmed) > 0, OnlyRetired: true, BarredVersions: unconfirmed}
 	}
-	now := r.Clock.Now()
+	now := t.Clock.Now()
 	rollout := tracked.current(now)
 	choice := shelfshelf.VersionChoice{Active: true, Version: rollout.Version, BarredVersions: append(unconfirmed, rollout.BarredVersions...)}
 	switch {
-	case rollout.State == shelfshelf.RolloutCompleted, r.alreadyServing(rollout):
+	case rollout.State == shelfshelf.RolloutCompleted, t.alreadyServing(rollout):
 		choice.Active = len(tracked.retired)+len(choice.BarredVersions) > 0
 		choice.Retired, choice.OnlyRetired = tracked.retired, true
 	case rollout.Halted || rollout.State == shelfshelf.RolloutRolledBack:
 	case rollout.State == shelfshelf.RolloutMoving:
-		share := moveShare(rollout, r.Bounds.estimatedMoveTime(rollout))
-		choice.ToNewVersion = r.random() < share
+		share := moveShare(rollout, t.Bounds.estimatedMoveTime(rollout))
+		choice.ToNewVersion = t.random() < share
 		choice.Trial = choice.ToNewVersion && share < 1
 	default:
-		r.chooseTrial(tracked, rollout, targets, &choice)
+		t.chooseTrial(tracked, rollout, targets, &choice)
 	}
 	return choice
 }
 
-// chooseTrial decides whether a request tries the new version. The caller must hold r.mu.
-func (r *Tracker) chooseTrial(tracked *trackedRollout, rollout shelfshelf.Rollout, targets []shelfshelf.Target, choice *shelfshelf.VersionChoice) {
-	share := r.Bounds.shareSince(rollout, tracked.since)
-	if !tracked.allowsTrial(share, r.extraTrials(rollout)+tracked.extra) {
+// chooseTrial decides whether a request tries the new version. The caller must hold t.mu.
+func (t *Tracker) chooseTrial(tracked *trackedRollout, rollout shelfshelf.Rollout, targets []shelfshelf.Target, choice *shelfshelf.VersionChoice) {
+	share := t.Bounds.shareSince(rollout, tracked.since)
+	if !tracked.allowsTrial(share, t.extraTrials(rollout)+tracked.extra) {
 		return
 	}
 	var newTargets []shelfshelf.Target
@@ -106,59 +106,59 @@
 			old++
 		}
 	}
-	canaries, probability := r.Bounds.trialTargets(rollout, old, newTargets)
-	choice.ToNewVersion = len(newTargets) > 0 && r.random() < probability
+	canaries, probability := t.Bounds.trialTargets(rollout, old, newTargets)
+	choice.ToNewVersion = len(newTargets) > 0 && t.random() < probability
 	choice.Trial = choice.ToNewVersion
 	choice.Canaries = canaries
 }
 
 // extraTrials returns how many trials this instance may make beyond its share: an equal part of the
 // slack for trials, and also of the slack for the move while the version is in doubt.
-func (r *Tracker) extraTrials(rollout shelfshelf.Rollout) float64 {
-	if r.Instances == nil {
+func (t *Tracker) extraTrials(rollout shelfshelf.Rollout) float64 {
+	if t.Instances == nil {
 		return 0
 	}
 	fraction := trialSlackFraction
 	if rollout.Age < rollout.DoubtedUntil {
 		fraction = slackFraction
 	}
-	return fraction * r.Bounds.Slack / float64(max(r.Instances(), 1))
+	return fraction * t.Bounds.Slack / float64(max(t.Instances(), 1))
 }
 
 // AlreadyServing reports whether the rollout's version was already serving before the rollout was ordered: no
 // other usable version is listed.
-func (r *Tracker) AlreadyServing(rollout shelfshelf.Rollout) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.alreadyServing(rollout)
+func (t *Tracker) AlreadyServing(rollout shelfshelf.Rollout) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.alreadyServing(rollout)
 }
 
-// alreadyServing is AlreadyServing for a caller that already holds r.mu.
-func (r *Tracker) alreadyServing(rollout shelfshelf.Rollout) bool {
-	listed := r.targetCounts[rollout.Pool]
+// alreadyServing is AlreadyServing for a caller that already holds t.mu.
+func (t *Tracker) alreadyServing(rollout shelfshelf.Rollout) bool {
+	listed := t.targetCounts[rollout.Pool]
 	for version := range listed {
 		if version != rollout.Version && !slices.Contains(rollout.BarredVersions, version) {
 			return false
 		}
 	}
-	seen, known := r.firstSeen[rollout.Pool][rollout.Version]
+	seen, known := t.firstSeen[rollout.Pool][rollout.Version]
 	return known && seen.position < rollout.Revision && listed[rollout.Version] > 0 &&
 		rollout.State < shelfshelf.RolloutMoving && !rollout.Halted
 }
 
 // TargetCount returns the number of the pool's targets with the rollout's version.
-func (r *Tracker) TargetCount(rollout shelfshelf.Rollout) int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.targetCounts[rollout.Pool][rollout.Version]
+func (t *Tracker) TargetCount(rollout shelfshelf.Rollout) int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.targetCounts[rollout.Pool][rollout.Version]
 }
 
 // listedOthers returns the number of the pool's targets with other versions.
-func (r *Tracker) listedOthers(rollout shelfshelf.Rollout) int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (t *Tracker) listedOthers(rollout shelfshelf.Rollout) int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	others := 0
-	for version, count := range r.targetCounts[rollout.Pool] {
+	for version, count := range t.targetCounts[rollout.Pool] {
 		if version != rollout.Version {
 			others += count
 		}
@@ -167,12 +167,12 @@
 }
 
 // unconfirmed returns the versions of a pool for which it isn't known yet whether a rollout was
-// ordered. The caller must hold r.mu.
-func (r *Tracker) unconfirmed(pool shelfshelf.PoolName) []shelfshelf.TargetVersion {
+// ordered. The caller must hold t.mu.
+func (t *Tracker) unconfirmed(pool shelfshelf.PoolName) []shelfshelf.TargetVersion {
 	var unconfirmed []shelfshelf.TargetVersion
-	now := r.Clock.Now()
-	for version, seen := range r.firstSeen[pool] {
-		if seen.position > r.asOf && now.Sub(seen.at) < maxUnconfirmedHold {
+	now := t.Clock.Now()
+	for version, seen := range t.firstSeen[pool] {
+		if seen.position > t.asOf && now.Sub(seen.at) < maxUnconfirmedHold {
 			unconfirmed = append(unconfirmed, version)
 		}
 	}
--- a/rollout/controller.go
+++ b/rollout/controller.go
@@ -92,87 +92,87 @@
 }
 
 // Report returns the counts of this instance.
-func (k *Controller) Report() Report {
-	return Report{Life: k.Self, Evidence: k.Tracker.Evidence()}
+func (c *Controller) Report() Report {
+	return Report{Life: c.Self, Evidence: c.Tracker.Evidence()}
 }
 
 // Run evaluates rollouts and records their progress until the context ends. It is idle while none is
 // active.
-func (k *Controller) Run(ctx context.Context) error { return k.loop(ctx) }
+func (c *Controller) Run(ctx context.Context) error { return c.loop(ctx) }
 
-func (k *Controller) loop(ctx context.Context) error {
-	k.progress = make(map[shelfshelf.PoolName]*rolloutProgress)
+func (c *Controller) loop(ctx context.Context) error {
+	c.progress = make(map[shelfshelf.PoolName]*rolloutProgress)
 	for ctx.Err() == nil {
-		active := k.Tracker.Active()
+		active := c.Tracker.Active()
 		var next <-chan time.Time
 		switch {
 		case len(active) > 0:
-			next = k.Clock.After(k.pollPause(active))
-		case len(k.Tracker.Unsaved()) > 0:
-			next = k.Clock.After(saveAgainPause)
+			next = c.Clock.After(c.pollPause(active))
+		case len(c.Tracker.Unsaved()) > 0:
+			next = c.Clock.After(saveAgainPause)
 		}
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-k.Tracker.Changes():
+		case <-c.Tracker.Changes():
 		case <-next:
 		}
-		k.saveAgain(ctx, k.IsLeader())
-		if active = k.Tracker.Active(); len(active) > 0 && k.ShouldPoll() {
-			k.poll(ctx, active)
+		c.saveAgain(ctx, c.IsLeader())
+		if active = c.Tracker.Active(); len(active) > 0 && c.ShouldPoll() {
+			c.poll(ctx, active)
 		}
 	}
 	return nil
 }
 
 // pollPause returns the time until the next round of polls.
-func (k *Controller) pollPause(active []shelfshelf.Rollout) time.Duration {
+func (c *Controller) pollPause(active []shelfshelf.Rollout) time.Duration {
 	period := pollInterval
 	for _, rollout := range active {
 		if rollout.State == shelfshelf.RolloutMoving {
 			period = movePollInterval
 		}
 	}
-	return period * time.Duration(max(pollsPerInterval, k.polledCount)) / pollsPerInterval
+	return period * time.Duration(max(pollsPerInterval, c.polledCount)) / pollsPerInterval
 }
 
 // poll fetches the counts of the others and evaluates each rollout.
-func (k *Controller) poll(ctx context.Context, active []shelfshelf.Rollout) {
-	leads := k.IsLeader()
-	reports, unreachable := k.pollAll(ctx, leads)
-	k.evaluateAll(ctx, active, append(reports, k.Report()), unreachable, leads)
+func (c *Controller) poll(ctx context.Context, active []shelfshelf.Rollout) {
+	leads := c.IsLeader()
+	reports, unreachable := c.pollAll(ctx, leads)
+	c.evaluateAll(ctx, active, append(reports, c.Report()), unreachable, leads)
 }
 
 // evaluateAll evaluates each rollout by the reports of the instances and takes the next step.
-func (k *Controller) evaluateAll(ctx context.Context, active []shelfshelf.Rollout, reports []Report, unreachable int, leads bool) {
+func (c *Controller) evaluateAll(ctx context.Context, active []shelfshelf.Rollout, reports []Report, unreachable int, leads bool) {
 	for _, rollout := range active {
-		p := k.progress[rollout.Pool]
+		p := c.progress[rollout.Pool]
 		if p == nil || p.revision != rollout.Revision {
-			p = &rolloutProgress{revision: rollout.Revision, began: k.Clock.Now(), drainedInstances: make(map[shelfshelf.InstanceID]bool)}
-			k.progress[rollout.Pool] = p
+			p = &rolloutProgress{revision: rollout.Revision, began: c.Clock.Now(), drainedInstances: make(map[shelfshelf.InstanceID]bool)}
+			c.progress[rollout.Pool] = p
 		}
 		p.judge.Moving = rollout.State == shelfshelf.RolloutMoving
 		p.addReports(rollout, reports, unreachable)
-		k.evaluate(rollout, p)
+		c.evaluate(rollout, p)
 		if leads {
-			k.advance(ctx, rollout, p)
+			c.advance(ctx, rollout, p)
 		}
 	}
 }
 
 // pollAll fetches the counts of the others and returns how many instances didn't respond.
-func (k *Controller) pollAll(ctx context.Context, all bool) (reports []Report, unreachable int) {
+func (c *Controller) pollAll(ctx context.Context, all bool) (reports []Report, unreachable int) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	addresses := k.PeerAddresses(all)
-	k.polledCount = len(addresses)
+	addresses := c.PeerAddresses(all)
+	c.polledCount = len(addresses)
 	results := make(chan *Report, len(addresses))
 	semaphore := make(chan struct{}, maxConcurrentPolls)
 	var wait sync.WaitGroup
 	for _, address := range addresses {
 		wait.Add(1)
 		semaphore <- struct{}{}
-		go k.pollInstance(ctx, address, results, semaphore, &wait)
+		go c.pollInstance(ctx, address, results, semaphore, &wait)
 	}
 	wait.Wait()
 	close(results)
@@ -186,12 +186,12 @@
 	return reports, unreachable
 }
 
-func (k *Controller) pollInstance(ctx context.Context, address string, results chan<- *Report, semaphore <-chan struct{}, wait *sync.WaitGroup) {
+func (c *Controller) pollInstance(ctx context.Context, address string, results chan<- *Report, semaphore <-chan struct{}, wait *sync.WaitGroup) {
 	defer wait.Done()
 	defer func() { <-semaphore }()
-	report, err := k.FetchReport(ctx, address)
+	report, err := c.FetchReport(ctx, address)
 	if err != nil {
-		k.Log.Debug("Could not fetch an instance's counts.", "from", address, "error", err)
+		c.Log.Debug("Could not fetch an instance's counts.", "from", address, "error", err)
 		results <- nil
 		return
 	}
@@ -237,65 +237,65 @@
 
 // evaluate computes the verdict on a rollout. A version found bad is halted at once: the other
 // instances stop sending to it as soon as they learn of it, whether or not the rollback can be stored.
-func (k *Controller) evaluate(rollout shelfshelf.Rollout, p *rolloutProgress) {
-	p.judge.Targets, p.judge.OldTargets = k.Tracker.TargetCount(rollout), k.Tracker.listedOthers(rollout)
+func (c *Controller) evaluate(rollout shelfshelf.Rollout, p *rolloutProgress) {
+	p.judge.Targets, p.judge.OldTargets = c.Tracker.TargetCount(rollout), c.Tracker.listedOthers(rollout)
 	p.verdict = p.judge.Verdict()
 	if !p.verdict.Bad || rollout.Halted {
-		k.extendDoubt(rollout, p)
+		c.extendDoubt(rollout, p)
 		return
 	}
-	k.logProgress(rollout, p, "New version is bad; halting the rollout.")
+	c.logProgress(rollout, p, "New version is bad; halting the rollout.")
 	rollout.Halted = true
-	k.Tracker.Merge([]shelfshelf.Rollout{rollout}, 0, "own verdict")
+	c.Tracker.Merge([]shelfshelf.Rollout{rollout}, 0, "own verdict")
 }
 
 // extendDoubt makes the instances send more trials to a version in doubt, so that the decision comes
 // soon.
-func (k *Controller) extendDoubt(rollout shelfshelf.Rollout, p *rolloutProgress) {
+func (c *Controller) extendDoubt(rollout shelfshelf.Rollout, p *rolloutProgress) {
 	if !p.verdict.Doubted() || rollout.State >= shelfshelf.RolloutMoving || rollout.DoubtedUntil-rollout.Age > doubtDuration/2 {
 		return
 	}
-	k.logProgress(rollout, p, "New version is in doubt; sending more trials.")
+	c.logProgress(rollout, p, "New version is in doubt; sending more trials.")
 	rollout.DoubtedUntil = rollout.Age + doubtDuration
-	k.Tracker.Merge([]shelfshelf.Rollout{rollout}, 0, "own verdict")
+	c.Tracker.Merge([]shelfshelf.Rollout{rollout}, 0, "own verdict")
 }
 
-func (k *Controller) logProgress(rollout shelfshelf.Rollout, p *rolloutProgress, message string) {
+func (c *Controller) logProgress(rollout shelfshelf.Rollout, p *rolloutProgress, message string) {
 	sent := p.merger.TotalSent()
-	k.Log.Info(message, "pool", rollout.Pool, "version", rollout.Version, "revision", rollout.Revision, "state", rollout.State, "age", rollout.Age,
+	c.Log.Info(message, "pool", rollout.Pool, "version", rollout.Version, "revision", rollout.Revision, "state", rollout.State, "age", rollout.Age,
 		"period", rollout.Period, "by", p.verdict.Reason, "against", p.verdict.Evidence, "limit", p.verdict.Limit, "trials", p.verdict.Trials,
 		"trialsFailed", p.verdict.Failed, "slower", p.verdict.SlowdownFactor, "others", p.verdict.Old, "othersFailed", p.verdict.OldFailed, "sent", sent.All, "sentNew", sent.New)
 }
 
 // advance takes the next step of a rollout.
-func (k *Controller) advance(ctx context.Context, rollout shelfshelf.Rollout, p *rolloutProgress) {
-	now := k.Clock.Now()
+func (c *Controller) advance(ctx context.Context, rollout shelfshelf.Rollout, p *rolloutProgress) {
+	now := c.Clock.Now()
 	switch {
 	case rollout.Halted || p.verdict.Bad:
-		k.saveState(ctx, rollout, p, shelfshelf.RolloutRolledBack)
-	case k.Tracker.AlreadyServing(rollout):
-		k.saveState(ctx, rollout, p, shelfshelf.RolloutCompleted)
+		c.saveState(ctx, rollout, p, shelfshelf.RolloutRolledBack)
+	case c.Tracker.AlreadyServing(rollout):
+		c.saveState(ctx, rollout, p, shelfshelf.RolloutCompleted)
 	case rollout.State == shelfshelf.RolloutOrdered:
-		k.saveState(ctx, rollout, p, shelfshelf.RolloutServing)
-	case rollout.State == shelfshelf.RolloutServing && k.mayStartMove(rollout, p):
-		k.logProgress(rollout, p, "New version is good; starting the move.")
+		c.saveState(ctx, rollout, p, shelfshelf.RolloutServing)
+	case rollout.State == shelfshelf.RolloutServing && c.mayStartMove(rollout, p):
+		c.logProgress(rollout, p, "New version is good; starting the move.")
 		rollout.State = shelfshelf.RolloutMoving
-		k.Tracker.Merge([]shelfshelf.Rollout{rollout}, 0, "own verdict")
+		c.Tracker.Merge([]shelfshelf.Rollout{rollout}, 0, "own verdict")
 	case rollout.State == shelfshelf.RolloutMoving && p.drained(now) && p.proven(now):
-		k.saveState(ctx, rollout, p, shelfshelf.RolloutCompleted)
+		c.saveState(ctx, rollout, p, shelfshelf.RolloutCompleted)
 	}
 }
 
 // mayStartMove reports whether the new version may take over: near the deadline or after it.
-func (k *Controller) mayStartMove(rollout shelfshelf.Rollout, p *rolloutProgress) bool {
+func (c *Controller) mayStartMove(rollout shelfshelf.Rollout, p *rolloutProgress) bool {
 	left := rollout.Period - rollout.Age
 	sent := p.merger.TotalSent()
-	if left > k.Tracker.Bounds.moveTime(rollout, sent, k.Clock.Now().Sub(p.began)) || k.Tracker.TargetCount(rollout) == 0 {
+	if left > c.Tracker.Bounds.moveTime(rollout, sent, c.Clock.Now().Sub(p.began)) || c.Tracker.TargetCount(rollout) == 0 {
 		return false
 	}
 	// A pool with fewer requests than the slack in its whole period can't provide evidence.
-	idle := left <= 0 && float64(sent.All) < slackFraction*k.Tracker.Bounds.Slack && !p.verdict.Bad
-	return p.verdict.Good && !p.trialsOverdue(k.Tracker.Bounds.trialShare()) || idle
+	idle := left <= 0 && float64(sent.All) < slackFraction*c.Tracker.Bounds.Slack && !p.verdict.Bad
+	return p.verdict.Good && !p.trialsOverdue(c.Tracker.Bounds.trialShare()) || idle
 }
 
 // trialsOverdue reports that more trials are in flight than there would be for a version as fast as the
@@ -344,28 +344,28 @@
 
 // saveState stores the new state of a rollout. If the store already has a final state, that one
 // applies.
-func (k *Controller) saveState(ctx context.Context, rollout shelfshelf.Rollout, p *rolloutProgress, state shelfshelf.RolloutState) {
+func (c *Controller) saveState(ctx context.Context, rollout shelfshelf.Rollout, p *rolloutProgress, state shelfshelf.RolloutState) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	rollout.State = state
-	stored, err := k.Store.SaveRollout(ctx, rollout)
+	stored, err := c.Store.SaveRollout(ctx, rollout)
 	if err == nil {
 		rollout.RowVersion = stored
-		k.logProgress(rollout, p, "Stored a new rollout state.")
-		k.Tracker.Merge([]shelfshelf.Rollout{rollout}, 0, "own write")
+		c.logProgress(rollout, p, "Stored a new rollout state.")
+		c.Tracker.Merge([]shelfshelf.Rollout{rollout}, 0, "own write")
 		return
 	}
-	k.Log.Warn("Could not store the rollout state.", "pool", rollout.Pool, "state", state, "error", err)
+	c.Log.Warn("Could not store the rollout state.", "pool", rollout.Pool, "state", state, "error", err)
 	if errors.Is(err, shelfshelf.ErrConflict) || errors.Is(err, shelfshelf.ErrAmbiguous) {
-		k.reload(ctx, rollout)
+		c.reload(ctx, rollout)
 	}
 }
 
 // reload reads the stored state of a rollout.
-func (k *Controller) reload(ctx context.Context, rollout shelfshelf.Rollout) {
-	kept, err := k.Store.LoadRollouts(ctx)
+func (c *Controller) reload(ctx context.Context, rollout shelfshelf.Rollout) {
+	kept, err := c.Store.LoadRollouts(ctx)
 	if err != nil {
-		k.Log.Warn("Could not read the stored rollout states.", "error", err)
+		c.Log.Warn("Could not read the stored rollout states.", "error", err)
 		return
 	}
 	for _, found := range kept {
@@ -376,6 +376,6 @@
 		if found.Revision == rollout.Revision {
 			rollout.State = max(found.State, shelfshelf.RolloutServing)
 		}
-		k.Tracker.Merge([]shelfshelf.Rollout{rollout}, 0, "the store")
+		c.Tracker.Merge([]shelfshelf.Rollout{rollout}, 0, "the store")
 	}
 }
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -148,11 +148,11 @@
 
 // Add merges the counts of one incarnation and returns the increments since its previous report. The
 // counts of incarnations that have ended are kept.
-func (m *ReportMerger) Add(life InstanceRun, received Evidence) map[CellKey]*ResultCounts {
+func (m *ReportMerger) Add(run InstanceRun, received Evidence) map[CellKey]*ResultCounts {
 	if m.latest == nil {
 		m.latest = make(map[InstanceRun]*Evidence)
 	}
-	before := m.latest[life]
+	before := m.latest[run]
 	if before != nil && received.answers() < before.answers() {
 		// An older report that arrived late.
 		return nil
@@ -167,7 +167,7 @@
 			increments[name] = &increment
 		}
 	}
-	m.latest[life] = &received
+	m.latest[run] = &received
 	return increments
 }
 
--- a/rollout/restore.go
+++ b/rollout/restore.go
@@ -38,12 +38,12 @@
 
 // Unsaved returns the rollouts whose state has to be stored again, because the store was restored from
 // an older copy without it.
-func (r *Tracker) Unsaved() []shelfshelf.Rollout {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	now := r.Clock.Now()
+func (t *Tracker) Unsaved() []shelfshelf.Rollout {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.Clock.Now()
 	var unsaved []shelfshelf.Rollout
-	for _, tracked := range r.rollouts {
+	for _, tracked := range t.rollouts {
 		if tracked.unsaved {
 			unsaved = append(unsaved, tracked.current(now))
 		}
@@ -52,10 +52,10 @@
 }
 
 // markSaved notes that the state of a rollout is stored again.
-func (r *Tracker) markSaved(rollout shelfshelf.Rollout) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if tracked := r.rollouts[rollout.Pool]; tracked != nil && tracked.rollout.Revision == rollout.Revision {
+func (t *Tracker) markSaved(rollout shelfshelf.Rollout) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if tracked := t.rollouts[rollout.Pool]; tracked != nil && tracked.rollout.Revision == rollout.Revision {
 		tracked.unsaved = false
 	}
 }
@@ -66,25 +66,25 @@
 // saveAgain stores the rollout states that were lost when the store was restored from an older copy,
 // for the operator and for instances that start later. Only the leading instance writes; the others
 // assume that it does.
-func (k *Controller) saveAgain(ctx context.Context, leads bool) {
-	for _, rollout := range k.Tracker.Unsaved() {
+func (c *Controller) saveAgain(ctx context.Context, leads bool) {
+	for _, rollout := range c.Tracker.Unsaved() {
 		if !leads {
-			k.Tracker.markSaved(rollout)
+			c.Tracker.markSaved(rollout)
 			continue
 		}
 		saveCtx, cancel := context.WithTimeout(ctx, storeTimeout)
-		stored, err := k.Store.SaveRollout(saveCtx, rollout)
+		stored, err := c.Store.SaveRollout(saveCtx, rollout)
 		cancel()
 		switch {
 		case err == nil:
 			rollout.RowVersion = stored
-			k.Tracker.markSaved(rollout)
-			k.Tracker.Merge([]shelfshelf.Rollout{rollout}, 0, "own write")
-			k.Log.Info("Stored the rollout state again after a store restore.", "pool", rollout.Pool, "version", rollout.Version, "state", rollout.State)
+			c.Tracker.markSaved(rollout)
+			c.Tracker.Merge([]shelfshelf.Rollout{rollout}, 0, "own write")
+			c.Log.Info("Stored the rollout state again after a store restore.", "pool", rollout.Pool, "version", rollout.Version, "state", rollout.State)
 		case errors.Is(err, shelfshelf.ErrConflict), errors.Is(err, shelfshelf.ErrAmbiguous):
-			k.reload(ctx, rollout)
+			c.reload(ctx, rollout)
 		default:
-			k.Log.Warn("Could not store the rollout state again yet.", "pool", rollout.Pool, "error", err)
+			c.Log.Warn("Could not store the rollout state again yet.", "pool", rollout.Pool, "error", err)
 		}
 	}
 }
--- a/rollout/restore_test.go
+++ b/rollout/restore_test.go
@@ -56,7 +56,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newTestRecord(&manualClock{now: time.Unix(1000, 0)})
+			r := newTestTracker(&manualClock{now: time.Unix(1000, 0)})
 			for _, known := range c.known {
 				r.Merge([]shelfshelf.Rollout{known}, known.Revision, "the store")
 			}
--- a/rollout/sim_test.go
+++ b/rollout/sim_test.go
@@ -82,16 +82,16 @@
 type simulation struct {
 	size
 	fault
-	period  time.Duration
-	random  *rand.Rand
-	now     time.Time
-	began   time.Time
-	events  eventQueue
-	records []*Tracker
+	period   time.Duration
+	random   *rand.Rand
+	now      time.Time
+	began    time.Time
+	events   eventQueue
+	trackers []*Tracker
 	// partitioned marks the instances that receive nothing at present.
 	partitioned  []bool
 	incarnations []uint64
-	keeper       *Controller
+	controller   *Controller
 	targets      []shelfshelf.Target
 	// runningByVersion counts the requests that each instance has running at old and at new targets.
 	runningByVersion map[*Tracker]*[2]int
@@ -153,15 +153,15 @@
 	return []shelfshelf.Rollout{{Pool: "p", Revision: 10, State: sim.state}}, nil
 }
 
-func (sim *simulation) newRecord() *Tracker {
+func (sim *simulation) newTracker() *Tracker {
 	running := &[2]int{}
-	record := &Tracker{
+	tracker := &Tracker{
 		Instances: func() int { return sim.instances },
 		Running:   func(shelfshelf.PoolName, shelfshelf.TargetVersion) (int, int) { return running[0], running[1] },
 		Clock:     sim, Log: log.New(io.Discard), Bounds: Bounds{Share: share, Slack: slack}, Random: sim.random.Float64,
 	}
-	sim.runningByVersion[record] = running
-	return record
+	sim.runningByVersion[tracker] = running
+	return tracker
 }
 
 func newSimulation(s size, f fault, period time.Duration, seed uint64) *simulation {
@@ -187,14 +187,14 @@
 	sim.partitioned = make([]bool, s.instances)
 	sim.incarnations = make([]uint64, s.instances)
 	for range s.instances {
-		sim.records = append(sim.records, sim.newRecord())
+		sim.trackers = append(sim.trackers, sim.newTracker())
 	}
-	for i, record := range sim.records {
-		record.SetTargets(sim.targets[:s.targets], 1)
+	for i, tracker := range sim.trackers {
+		tracker.SetTargets(sim.targets[:s.targets], 1)
 		sim.after(sim.messageDelay(), func() { sim.learnRollout(i) })
 	}
-	sim.keeper = &Controller{
-		Clock: sim, Log: log.New(io.Discard), Tracker: sim.records[0], Store: sim, Self: InstanceRun{Instance: "0"},
+	sim.controller = &Controller{
+		Clock: sim, Log: log.New(io.Discard), Tracker: sim.trackers[0], Store: sim, Self: InstanceRun{Instance: "0"},
 		IsLeader: func() bool { return true }, ShouldPoll: func() bool { return true },
 		PeerAddresses: func(bool) []string { return nil }, progress: make(map[shelfshelf.PoolName]*rolloutProgress),
 	}
@@ -207,32 +207,32 @@
 }
 
 func (sim *simulation) learnRollout(i int) {
-	sim.records[i].SetTargets(sim.targets, 12)
-	if known, asOf := sim.records[0].Snapshot(); len(known) > 0 {
+	sim.trackers[i].SetTargets(sim.targets, 12)
+	if known, asOf := sim.trackers[0].Snapshot(); len(known) > 0 {
 		// An instance that starts later learns what the others know.
-		sim.records[i].Merge(known, asOf, "test")
+		sim.trackers[i].Merge(known, asOf, "test")
 		return
 	}
-	sim.records[i].Merge([]shelfshelf.Rollout{{
+	sim.trackers[i].Merge([]shelfshelf.Rollout{{
 		Pool: "p", Revision: 10, Version: "v2", Period: sim.period, Age: sim.now.Sub(sim.began), State: shelfshelf.RolloutServing,
 	}}, 20, "test")
 }
 
 // poll polls the instances as the Controller does; some responses are lost.
 func (sim *simulation) poll() {
-	active := sim.records[0].Active()
+	active := sim.trackers[0].Active()
 	if len(active) > 0 {
 		var reports []Report
 		unreachable := 0
-		for i, record := range sim.records {
+		for i, tracker := range sim.trackers {
 			if i > 0 && (sim.partitioned[i] || sim.random.Float64() < 0.02) {
 				unreachable++
 				continue
 			}
-			reports = append(reports, Report{Life: InstanceRun{Instance: shelfshelf.InstanceID(fmt.Sprint(i)), Incarnation: sim.incarnations[i]}, Evidence: record.Evidence()})
+			reports = append(reports, Report{Life: InstanceRun{Instance: shelfshelf.InstanceID(fmt.Sprint(i)), Incarnation: sim.incarnations[i]}, Evidence: tracker.Evidence()})
 		}
-		sim.keeper.evaluateAll(context.Background(), active, reports, unreachable, true)
-		if t := sim.keeper.progress["p"]; t != nil {
+		sim.controller.evaluateAll(context.Background(), active, reports, unreachable, true)
+		if t := sim.controller.progress["p"]; t != nil {
 			sim.why = fmt.Sprintf("%s %.1f of %.1f, %d trials", t.verdict.Reason, t.verdict.Evidence, t.verdict.Limit, t.verdict.Trials)
 		}
 	}
@@ -242,9 +242,9 @@
 
 // broadcast sends the rollouts known to the Controller's instance to the others.
 func (sim *simulation) broadcast() {
-	known, asOf := sim.records[0].Snapshot()
+	known, asOf := sim.trackers[0].Snapshot()
 	sent := sim.now
-	for i := range sim.records {
+	for i := range sim.trackers {
 		sim.after(sim.messageDelay(), func() {
 			if !sim.partitioned[i] {
 				late := make([]shelfshelf.Rollout, len(known))
@@ -255,7 +255,7 @@
 					}
 					late[j] = rollout
 				}
-				sim.records[i].Merge(late, asOf, "test")
+				sim.trackers[i].Merge(late, asOf, "test")
 			}
 		})
 	}
@@ -263,11 +263,11 @@
 
 // injectFault restarts or partitions an instance.
 func (sim *simulation) injectFault() {
-	i := 1 + sim.random.IntN(len(sim.records)-1)
+	i := 1 + sim.random.IntN(len(sim.trackers)-1)
 	if sim.random.Float64() < 0.5 {
-		sim.records[i] = sim.newRecord()
+		sim.trackers[i] = sim.newTracker()
 		sim.incarnations[i]++
-		sim.records[i].SetTargets(sim.targets, 12)
+		sim.trackers[i].SetTargets(sim.targets, 12)
 		sim.after(sim.messageDelay(), func() { sim.learnRollout(i) })
 	} else {
 		sim.partitioned[i] = true
@@ -284,13 +284,13 @@
 		rate *= 2.2
 	}
 	sim.after(time.Duration(sim.random.ExpFloat64()/rate*float64(time.Second)), sim.arrive)
-	record := sim.records[sim.random.IntN(len(sim.records))]
+	tracker := sim.trackers[sim.random.IntN(len(sim.trackers))]
 	targets := sim.targets
-	if known, _ := record.Snapshot(); len(known) == 0 {
+	if known, _ := tracker.Snapshot(); len(known) == 0 {
 		// The instance doesn't know the new targets yet either.
 		targets = targets[:sim.size.targets]
 	}
-	choice := record.Choose("p", targets)
+	choice := tracker.Choose("p", targets)
 	var best *shelfshelf.Target
 	from, step := sim.random.IntN(len(targets)), []int{7, 11, 13, 17, 19, 23}[sim.random.IntN(6)]
 	for i, looked := 0, 0; i < len(targets) && looked < 8; i++ {
@@ -306,12 +306,12 @@
 	if best == nil {
 		return
 	}
-	sim.run(record, *best)
+	sim.run(tracker, *best)
 }
 
 // run runs a request at a target.
-func (sim *simulation) run(record *Tracker, target shelfshelf.Target) {
-	record.RequestStarted(target)
+func (sim *simulation) run(tracker *Tracker, target shelfshelf.Target) {
+	tracker.RequestStarted(target)
 	age := sim.now.Sub(sim.began)
 	onNew := target.Version == "v2"
 	if age < sim.period {
@@ -343,25 +343,25 @@
 	}
 	failed := sim.random.Float64() < failing
 	if onNew {
-		sim.runningByVersion[record][1]++
+		sim.runningByVersion[tracker][1]++
 	} else {
-		sim.runningByVersion[record][0]++
+		sim.runningByVersion[tracker][0]++
 	}
 	sim.after(time.Duration(took*float64(time.Second)), func() {
 		sim.running[target.Name]--
 		if onNew {
-			sim.runningByVersion[record][1]--
+			sim.runningByVersion[tracker][1]--
 		} else {
-			sim.runningByVersion[record][0]--
+			sim.runningByVersion[tracker][0]--
 		}
-		record.RequestEnded(target, shelfshelf.AttemptReport{
+		tracker.RequestEnded(target, shelfshelf.AttemptReport{
 			Route: shelfshelf.RouteName(fmt.Sprint("r", route)), Failed: failed, FirstAnswerRatio: took / usualTime,
 		})
 		if badNow && (failed || sim.slower > 0) {
 			if sim.failed++; sim.failed == 50 {
 				sim.fiftiethBadAt = sim.now
 			}
-			if active := sim.records[0].Active(); len(active) > 0 && active[0].State < shelfshelf.RolloutMoving {
+			if active := sim.trackers[0].Active(); len(active) > 0 && active[0].State < shelfshelf.RolloutMoving {
 				sim.badTrialAnswers++
 			}
 		}
--- a/rollout/tracker.go
+++ b/rollout/tracker.go
@@ -59,11 +59,11 @@
 }
 
 // random returns a uniform number in [0, 1).
-func (r *Tracker) random() float64 {
-	if r.Random == nil {
+func (t *Tracker) random() float64 {
+	if t.Random == nil {
 		return rand.Float64()
 	}
-	return r.Random()
+	return t.Random()
 }
 
 // current returns the rollout with its durations as of now.
@@ -77,51 +77,51 @@
 }
 
 // Changes returns a channel that signals changed rollouts.
-func (r *Tracker) Changes() <-chan struct{} {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.changeSignal()
+func (t *Tracker) Changes() <-chan struct{} {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.changeSignal()
 }
 
-// changeSignal returns the channel of Changes and creates it if needed. The caller must hold r.mu.
-func (r *Tracker) changeSignal() chan struct{} {
-	if r.changes == nil {
-		r.changes = make(chan struct{}, 1)
+// changeSignal returns the channel of Changes and creates it if needed. The caller must hold t.mu.
+func (t *Tracker) changeSignal() chan struct{} {
+	if t.changes == nil {
+		t.changes = make(chan struct{}, 1)
 	}
-	return r.changes
+	return t.changes
 }
 
 // Merge merges rollouts read from the store or received from another instance. They include every
 // rollout that had been ordered as of position asOf of the store.
-func (r *Tracker) Merge(received []shelfshelf.Rollout, asOf uint64, from string) {
-	r.mu.Lock()
-	r.asOf = max(r.asOf, asOf)
+func (t *Tracker) Merge(received []shelfshelf.Rollout, asOf uint64, from string) {
+	t.mu.Lock()
+	t.asOf = max(t.asOf, asOf)
 	changed := false
 	for _, rollout := range received {
-		if r.apply(rollout, from) {
+		if t.apply(rollout, from) {
 			changed = true
 		}
 	}
 	if changed {
 		select {
-		case r.changeSignal() <- struct{}{}:
+		case t.changeSignal() <- struct{}{}:
 		default:
 		}
 	}
-	r.mu.Unlock()
-	if changed && r.OnChange != nil {
-		r.OnChange()
+	t.mu.Unlock()
+	if changed && t.OnChange != nil {
+		t.OnChange()
 	}
 }
 
 // apply merges an update if it adds to what is known, and reports whether anything changed. The caller
-// must hold r.mu.
-func (r *Tracker) apply(rollout shelfshelf.Rollout, from string) bool {
-	if r.rollouts == nil {
-		r.rollouts = make(map[shelfshelf.PoolName]*trackedRollout)
+// must hold t.mu.
+func (t *Tracker) apply(rollout shelfshelf.Rollout, from string) bool {
+	if t.rollouts == nil {
+		t.rollouts = make(map[shelfshelf.PoolName]*trackedRollout)
 	}
-	now := r.Clock.Now()
-	known := r.rollouts[rollout.Pool]
+	now := t.Clock.Now()
+	known := t.rollouts[rollout.Pool]
 	if known != nil {
 		changed, stale := known.adoptRestored(rollout)
 		if stale || !rollout.AddsTo(known.rollout) {
@@ -134,16 +134,16 @@
 		}
 		known = &trackedRollout{
 			replaced:   replacedRollouts(known),
-			trialQuota: trialQuota{offset: r.random(), since: rollout.Age},
+			trialQuota: trialQuota{offset: t.random(), since: rollout.Age},
 			evidence:   Evidence{Pool: rollout.Pool, Revision: rollout.Revision, Cells: make(map[CellKey]*ResultCounts)},
 		}
-		r.rollouts[rollout.Pool] = known
+		t.rollouts[rollout.Pool] = known
 	} else {
 		known.completedHere = known.completedHere || !known.rollout.State.Finished() && rollout.State == shelfshelf.RolloutCompleted
 		rollout = mergeRollouts(known.current(now), rollout)
 	}
 	known.rollout, known.updatedAt = rollout, now
-	r.Log.Info("Rollout changed.", "pool", rollout.Pool, "version", rollout.Version, "revision", rollout.Revision,
+	t.Log.Info("Rollout changed.", "pool", rollout.Pool, "version", rollout.Version, "revision", rollout.Revision,
 		"state", rollout.State, "halted", rollout.Halted, "doubted", rollout.DoubtedUntil, "period", rollout.Period, "age", rollout.Age, "moving", rollout.MovingFor, "from", from)
 	return true
 }
@@ -180,19 +180,19 @@
 
 // Snapshot returns the snapshot that this instance sends to others: its rollouts, and the position of the
 // store up to which all are known.
-func (r *Tracker) Snapshot() (rollouts []shelfshelf.Rollout, asOf uint64) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	now := r.Clock.Now()
-	for _, tracked := range r.rollouts {
+func (t *Tracker) Snapshot() (rollouts []shelfshelf.Rollout, asOf uint64) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.Clock.Now()
+	for _, tracked := range t.rollouts {
 		rollouts = append(rollouts, tracked.current(now))
 	}
-	return rollouts, r.asOf
+	return rollouts, t.asOf
 }
 
 // Active returns the active rollouts.
-func (r *Tracker) Active() []shelfshelf.Rollout {
-	rollouts, _ := r.Snapshot()
+func (t *Tracker) Active() []shelfshelf.Rollout {
+	rollouts, _ := t.Snapshot()
 	var active []shelfshelf.Rollout
 	for _, rollout := range rollouts {
 		if !rollout.State.Finished() {
@@ -203,27 +203,27 @@
 }
 
 // Evidence returns the evidence of this instance on each active rollout.
-func (r *Tracker) Evidence() []Evidence {
+func (t *Tracker) Evidence() []Evidence {
 	var running map[shelfshelf.PoolName][2]int
-	if r.Running != nil {
+	if t.Running != nil {
 		running = make(map[shelfshelf.PoolName][2]int)
-		for _, rollout := range r.Active() {
-			others, matching := r.Running(rollout.Pool, rollout.Version)
+		for _, rollout := range t.Active() {
+			others, matching := t.Running(rollout.Pool, rollout.Version)
 			running[rollout.Pool] = [2]int{others, matching}
 		}
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	now := r.Clock.Now()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.Clock.Now()
 	var all []Evidence
-	for _, tracked := range r.rollouts {
+	for _, tracked := range t.rollouts {
 		if tracked.rollout.State.Finished() {
 			continue
 		}
 		counted := tracked.evidence
 		rollout := tracked.current(now)
 		counted.OldRunning, counted.NewRunning = running[rollout.Pool][0], running[rollout.Pool][1]
-		counted.OldTrafficStopped = rollout.State == shelfshelf.RolloutMoving && moveShare(rollout, r.Bounds.estimatedMoveTime(rollout)) >= 1
+		counted.OldTrafficStopped = rollout.State == shelfshelf.RolloutMoving && moveShare(rollout, t.Bounds.estimatedMoveTime(rollout)) >= 1
 		counted.Sent = SentCounts{All: uint64(max(tracked.sent, 0)), New: uint64(max(tracked.trials, 0))}
 		counted.Cells = make(map[CellKey]*ResultCounts, len(tracked.evidence.Cells))
 		for name, cell := range tracked.evidence.Cells {
@@ -236,33 +236,33 @@
 }
 
 // RequestStarted notes that a request was assigned to a target.
-func (r *Tracker) RequestStarted(target shelfshelf.Target) { r.countSent(target, 1) }
+func (t *Tracker) RequestStarted(target shelfshelf.Target) { t.countSent(target, 1) }
 
 // RequestUnsent notes that an assigned request didn't reach its target after all.
-func (r *Tracker) RequestUnsent(target shelfshelf.Target) { r.countSent(target, -1) }
+func (t *Tracker) RequestUnsent(target shelfshelf.Target) { t.countSent(target, -1) }
 
-func (r *Tracker) countSent(target shelfshelf.Target, by int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	tracked := r.rollouts[target.Pool]
+func (t *Tracker) countSent(target shelfshelf.Target, by int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	tracked := t.rollouts[target.Pool]
 	if tracked == nil || tracked.rollout.State.Finished() {
 		return
 	}
 	tracked.sent += by
-	tracked.extra += float64(by) * r.Bounds.extraShare(tracked.current(r.Clock.Now()))
+	tracked.extra += float64(by) * t.Bounds.extraShare(tracked.current(t.Clock.Now()))
 	if target.Version == tracked.rollout.Version {
 		tracked.trials += by
 	}
 }
 
 // RequestEnded counts the result of a request.
-func (r *Tracker) RequestEnded(target shelfshelf.Target, report shelfshelf.AttemptReport) {
+func (t *Tracker) RequestEnded(target shelfshelf.Target, report shelfshelf.AttemptReport) {
 	if report.Route == "" {
 		return
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	tracked := r.rollouts[target.Pool]
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	tracked := t.rollouts[target.Pool]
 	if tracked == nil || tracked.rollout.State.Finished() {
 		return
 	}
@@ -288,10 +288,10 @@
 
 // Retire marks the old targets of rollouts that were completed while this instance was running. They
 // get no more requests, because they stop at once.
-func (r *Tracker) Retire(targets []shelfshelf.Target) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for pool, tracked := range r.rollouts {
+func (t *Tracker) Retire(targets []shelfshelf.Target) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for pool, tracked := range t.rollouts {
 		if tracked.completedHere && tracked.retired == nil {
 			tracked.retire(pool, targets)
 		}
--- a/rollout/tracker_test.go
+++ b/rollout/tracker_test.go
@@ -19,7 +19,7 @@
 func (c *manualClock) Now() time.Time                       { return c.now }
 func (c *manualClock) After(time.Duration) <-chan time.Time { return nil }
 
-func newTestRecord(clock *manualClock) *Tracker {
+func newTestTracker(clock *manualClock) *Tracker {
 	return &Tracker{Clock: clock, Log: log.New(io.Discard), Bounds: Bounds{Share: share, Slack: slack}}
 }
 
@@ -41,13 +41,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		clock := &manualClock{now: time.Unix(1000, 0)}
 		const instances = 3
-		var records [instances]*Tracker
+		var trackers [instances]*Tracker
 		targets := targetsWithVersions(map[shelfshelf.TargetVersion]int{"v1": 4, "v2": 4, "v3": 4})
 		begin := func(i int) {
-			records[i] = newTestRecord(clock)
-			records[i].SetTargets(targets, 1)
+			trackers[i] = newTestTracker(clock)
+			trackers[i].SetTargets(targets, 1)
 		}
-		for i := range records {
+		for i := range trackers {
 			begin(i)
 		}
 		// updates are all updates sent so far, starting with those of the platform.
@@ -62,7 +62,7 @@
 			},
 			"step": func(t *rapid.T) {
 				i := rapid.IntRange(0, instances-1).Draw(t, "instance")
-				known, _ := records[i].Snapshot()
+				known, _ := trackers[i].Snapshot()
 				if len(known) == 0 {
 					t.Skip("no rollout known")
 				}
@@ -84,7 +84,7 @@
 					}
 					rollout.State = ended[rollout.Revision]
 				}
-				records[i].Merge([]shelfshelf.Rollout{rollout}, 0, "test")
+				trackers[i].Merge([]shelfshelf.Rollout{rollout}, 0, "test")
 				updates = append(updates, []shelfshelf.Rollout{rollout})
 			},
 			"hear": func(t *rapid.T) {
@@ -92,33 +92,33 @@
 					t.Skip("no updates yet")
 				}
 				i := rapid.IntRange(0, instances-1).Draw(t, "instance")
-				before, _ := records[i].Snapshot()
-				records[i].Merge(updates[rapid.IntRange(0, len(updates)-1).Draw(t, "word")], 0, "test")
-				after, _ := records[i].Snapshot()
+				before, _ := trackers[i].Snapshot()
+				trackers[i].Merge(updates[rapid.IntRange(0, len(updates)-1).Draw(t, "word")], 0, "test")
+				after, _ := trackers[i].Snapshot()
 				if len(before) > 0 && before[0].AddsTo(after[0]) {
 					t.Fatalf("%+v became %+v", before[0], after[0])
 				}
 			},
 			"tell": func(t *rapid.T) {
 				i := rapid.IntRange(0, instances-1).Draw(t, "instance")
-				known, _ := records[i].Snapshot()
+				known, _ := trackers[i].Snapshot()
 				updates = append(updates, known)
 			},
 			"restart": func(t *rapid.T) {
 				i := rapid.IntRange(0, instances-1).Draw(t, "instance")
-				known, asOf := records[(i+1)%instances].Snapshot()
+				known, asOf := trackers[(i+1)%instances].Snapshot()
 				begin(i)
-				records[i].Merge(known, asOf, "test")
+				trackers[i].Merge(known, asOf, "test")
 			},
 			"wait": func(*rapid.T) { clock.now = clock.now.Add(700 * time.Millisecond) },
 			"": func(t *rapid.T) {
-				for _, record := range records {
-					known, _ := record.Snapshot()
+				for _, tracker := range trackers {
+					known, _ := tracker.Snapshot()
 					if len(known) == 0 {
 						continue
 					}
 					barred := known[0].Halted || known[0].State == shelfshelf.RolloutRolledBack
-					choice := record.Choose("p", targets)
+					choice := tracker.Choose("p", targets)
 					for _, target := range targets {
 						if barred && known[0].State != shelfshelf.RolloutCompleted && target.Version == known[0].Version && choice.Allows(target) {
 							t.Fatalf("%+v allows target %s of version %s", known[0], target.Name, target.Version)
@@ -133,7 +133,7 @@
 					}
 				}
 				// Instances that have received all updates agree.
-				one, other := newTestRecord(clock), newTestRecord(clock)
+				one, other := newTestTracker(clock), newTestTracker(clock)
 				for i := range updates {
 					one.Merge(updates[i], 0, "test")
 					other.Merge(updates[len(updates)-1-i], 0, "test")
@@ -226,16 +226,16 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			clock := &manualClock{now: time.Unix(1000, 0)}
-			record := newTestRecord(clock)
-			record.SetTargets(targetsWithVersions(c.before), 1)
-			record.SetTargets(targetsWithVersions(c.after), 8)
-			record.Merge(nil, c.asOf, "test")
+			tracker := newTestTracker(clock)
+			tracker.SetTargets(targetsWithVersions(c.before), 1)
+			tracker.SetTargets(targetsWithVersions(c.after), 8)
+			tracker.Merge(nil, c.asOf, "test")
 			for _, rollout := range c.updates {
-				record.Merge([]shelfshelf.Rollout{rollout}, 0, "test")
+				tracker.Merge([]shelfshelf.Rollout{rollout}, 0, "test")
 			}
 			clock.now = clock.now.Add(c.later)
 			targets := targetsWithVersions(c.after)
-			choice := record.Choose("p", targets)
+			choice := tracker.Choose("p", targets)
 			allowed := make(map[shelfshelf.TargetVersion]bool)
 			for _, target := range targets {
 				if choice.Allows(target) {
@@ -262,9 +262,9 @@
 		trials, all := 0, 0
 		for range 40 {
 			for range instances {
-				record := newTestRecord(&manualClock{})
+				tracker := newTestTracker(&manualClock{})
 				for range 2 {
-					s := trialQuota{offset: record.random()}
+					s := trialQuota{offset: tracker.random()}
 					for range 30 {
 						s.sent++
 						all++
