--- a/announced/token_bucket.go
+++ b/announced/token_bucket.go
@@ -9,9 +9,9 @@
 	// burstDuration is how long unused tokens accumulate. With less, a target with 100 requests a
 	// second would lose a send whenever none is requested within 10 ms.
 	burstDuration = 250 * time.Millisecond
-	// closedRetryDelay is the wait returned while the rate is 0. The rate rises when another instance
+	// zeroRateDelay is the wait returned while the rate is 0. The rate rises when another instance
 	// has become the owner, or when this one hears from the others.
-	closedRetryDelay = 250 * time.Millisecond
+	zeroRateDelay = 250 * time.Millisecond
 )
 
 // wholeToken is the least amount that counts as one token. It is a little below 1 because sums of
@@ -55,7 +55,7 @@
 	b.refill(now)
 	switch {
 	case b.rate <= 0:
-		return closedRetryDelay
+		return zeroRateDelay
 	case b.tokens >= wholeToken:
 		return 0
 	}
--- a/announced/token_bucket_test.go
+++ b/announced/token_bucket_test.go
@@ -70,7 +70,7 @@
 	}
 	now = now.Add(time.Minute)
 	bucket.SetRate(0, now)
-	if bucket.Wait(now) != closedRetryDelay {
+	if bucket.Wait(now) != zeroRateDelay {
 		t.Fatal("a token bucket with the rate 0 allows a send")
 	}
 	bucket.SetRate(rate, now)
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -84,9 +84,9 @@
 	// retainedUntil holds the targets that are missing from the source's list but still used, with the
 	// time until which they are.
 	retainedUntil map[shelfshelf.TargetName]time.Time
-	// invalid holds the entries of the list that don't decode to a usable target, with the decoding
+	// unreadable holds the entries of the list that don't decode to a usable target, with the decoding
 	// error.
-	invalid map[shelfshelf.TargetName]string
+	unreadable map[shelfshelf.TargetName]string
 	// expiryWake wakes runExpiry when there is a new retained target or suspect.
 	expiryWake chan struct{}
 	// configurationValidAt and targetsValidAt are the latest times at which the data is known to have
--- a/catalog/targets.go
+++ b/catalog/targets.go
@@ -60,7 +60,7 @@
 // when it is retained all the same.
 func (c *Catalog) applyTargets(update shelfshelf.TargetsUpdate, validAt time.Time, from string, retainUntil func(shelfshelf.TargetName) time.Time) {
 	c.mu.Lock()
-	c.recordInvalid(update)
+	c.recordUnreadable(update)
 	if c.targets == nil {
 		c.targets = make(map[shelfshelf.TargetName]shelfshelf.Target)
 		c.retainedUntil = make(map[shelfshelf.TargetName]time.Time)
@@ -112,22 +112,22 @@
 	c.notify(from)
 }
 
-// recordInvalid records the entries that don't decode to a usable target. It logs each one when it
+// recordUnreadable records the entries that don't decode to a usable target. It logs each one when it
 // becomes unreadable or its reason changes, not at every read. The caller must hold c.mu.
-func (c *Catalog) recordInvalid(update shelfshelf.TargetsUpdate) {
-	previous := c.invalid
+func (c *Catalog) recordUnreadable(update shelfshelf.TargetsUpdate) {
+	previous := c.unreadable
 	if update.Full || previous == nil {
-		c.invalid = make(map[shelfshelf.TargetName]string)
+		c.unreadable = make(map[shelfshelf.TargetName]string)
 	}
 	for _, target := range update.Changed {
-		delete(c.invalid, target.Name)
+		delete(c.unreadable, target.Name)
 	}
 	for _, name := range update.Removed {
-		delete(c.invalid, name)
+		delete(c.unreadable, name)
 	}
 	for _, entry := range update.Invalid {
 		reason := entry.Reason.Error()
-		c.invalid[entry.Name] = reason
+		c.unreadable[entry.Name] = reason
 		if previous[entry.Name] != reason {
 			c.Log.Warn("An entry of the target list can't be decoded.", "entry", entry.Name, "reason", reason)
 		}
@@ -138,7 +138,7 @@
 func (c *Catalog) UnreadableCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.invalid)
+	return len(c.unreadable)
 }
 
 // removeTarget removes a target, or retains it if until is in the future. It reports whether that
