--- a/catalog/changes.go
+++ b/catalog/changes.go
@@ -21,6 +21,7 @@
 type Delta struct {
 	// Snapshot holds the changed targets, or all targets if Full is set.
 	Snapshot
+	// Full means that these are all targets and not only the changes after version Since.
 	Full    bool
 	Since   uint64
 	Removed []shelfshelf.TargetName
--- a/catalog/changes_test.go
+++ b/catalog/changes_test.go
@@ -83,7 +83,7 @@
 	for after, want := range map[uint64]struct{ targets, removed int }{5: {1, 1}, 6: {1, 1}, 4: {2999, 0}, 0: {2999, 0}} {
 		delta := first.TargetsSince(after)
 		if len(delta.Targets) != want.targets || len(delta.Removed) != want.removed || delta.Full != (want.removed == 0) {
-			t.Errorf("after %d: %d changed, %d removed, whole %v", after, len(delta.Targets), len(delta.Removed), delta.Full)
+			t.Errorf("after %d: %d changed, %d removed, full %v", after, len(delta.Targets), len(delta.Removed), delta.Full)
 		}
 	}
 }
