--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -15,7 +15,7 @@
 
 const (
 	// defaultPollTimeout is how long one read waits for changes of the configuration if
-	// ConfirmPeriod is not set.
+	// PollTimeout is not set.
 	defaultPollTimeout = time.Second
 	// targetsPollTimeout is how long one read waits for changes of the targets. It may be longer
 	// because no lease depends on the age of the targets. If the source stops answering one reader
@@ -319,8 +319,8 @@
 	c.index = index
 	c.configurationValidAt = validAt
 	c.mu.Unlock()
-	for _, flaw := range configuration.InvalidFields {
-		c.Log.Error("A configuration field can't be decoded.", "revision", configuration.Revision, "place", flaw.Field, "error", flaw.Reason, "effect", flaw.Effect)
+	for _, invalid := range configuration.InvalidFields {
+		c.Log.Error("A configuration field can't be decoded.", "revision", configuration.Revision, "place", invalid.Field, "error", invalid.Reason, "effect", invalid.Effect)
 	}
 	c.Log.Info("Applied a configuration.", "revision", configuration.Revision, "from", from,
 		"age", c.Clock.Now().Sub(validAt), "bytes", len(configuration.Encoded), "routes", len(configuration.Bundle.Routes), "customers", len(configuration.Bundle.Customers))
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -80,7 +80,7 @@
 	// learnt from the directory only.
 	FetchInstances func(ctx context.Context, address string) ([]shelfshelf.Instance, error)
 	// HandleDatagram handles datagrams of other protocols on the same socket, recognized by their first byte,
-	// OtherMarker. If it is nil, there are none.
+	// DatagramMarker. If it is nil, there are none.
 	HandleDatagram func(content []byte, from netip.AddrPort)
 	DatagramMarker byte
 
@@ -162,7 +162,7 @@
 			continue
 		}
 		if n.HandleDatagram != nil && size > 0 && buffer[0] == n.DatagramMarker {
-			n.handleOther(buffer[:size], from)
+			n.handleDatagram(buffer[:size], from)
 			continue
 		}
 		m, err := decode(buffer[:size])
@@ -174,8 +174,8 @@
 	}
 }
 
-// handleOther passes a datagram of another protocol to Other.
-func (n *Node) handleOther(content []byte, from net.Addr) {
+// handleDatagram passes a datagram of another protocol to HandleDatagram.
+func (n *Node) handleDatagram(content []byte, from net.Addr) {
 	if sender, ok := from.(*net.UDPAddr); ok {
 		address := sender.AddrPort()
 		n.HandleDatagram(content, netip.AddrPortFrom(address.Addr().Unmap(), address.Port()))
--- a/rollout/restore_test.go
+++ b/rollout/restore_test.go
@@ -14,7 +14,7 @@
 	}
 }
 
-// knownRollout returns the rollout that the record knows for its pool.
+// knownRollout returns the rollout that the tracker knows for its pool.
 func knownRollout(r *Tracker) shelfshelf.Rollout {
 	known, _ := r.Snapshot()
 	return known[0]
@@ -56,7 +56,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newTestRecord(&manualClock{now: time.Unix(1000, 0)})
+			r := newTestTracker(&manualClock{now: time.Unix(1000, 0)})
 			for _, known := range c.known {
 				r.Merge([]shelfshelf.Rollout{known}, known.Revision, "the store")
 			}
