--- a/announced/targets.go
+++ b/announced/targets.go
@@ -69,19 +69,19 @@
 	return a.Limit.Set && listed
 }
 
-// Limited returns the number of targets with a rate limit.
-func (t *Tracker) Limited() int {
+// LimitedCount returns the number of targets with a rate limit.
+func (t *Tracker) LimitedCount() int {
 	return t.count(func(a *announcement) bool { return a.Limit.Set })
 }
 
-// Leaving returns the number of listed targets that announce their shutdown in responses but not in their
+// LeavingCount returns the number of listed targets that announce their shutdown in responses but not in their
 // entries.
-func (t *Tracker) Leaving() int {
+func (t *Tracker) LeavingCount() int {
 	return t.count(t.onlyResponsesSayLeaving)
 }
 
-// Resting returns the number of listed targets that asked this instance for a backoff that isn't over.
-func (t *Tracker) Resting() int {
+// BackoffCount returns the number of listed targets that asked this instance for a backoff that isn't over.
+func (t *Tracker) BackoffCount() int {
 	now := t.Clock.Now()
 	return t.count(func(a *announcement) bool {
 		_, listed := t.listed[a.Target]
--- a/announced/tracker_test.go
+++ b/announced/tracker_test.go
@@ -142,12 +142,12 @@
 		t.Errorf("an unlisted target is sent: %+v", sent)
 	}
 	r.SetTargets([]shelfshelf.Target{first})
-	if !r.Latest(key).Leaving || r.Leaving() != 1 || len(r.ForStatus()) != 1 {
+	if !r.Latest(key).Leaving || r.LeavingCount() != 1 || len(r.ForStatus()) != 1 {
 		t.Errorf("after its entry came back: %+v, sent %+v", r.Latest(key), r.ForStatus())
 	}
 	first.Leaving = true
 	r.SetTargets([]shelfshelf.Target{first})
-	if r.Leaving() != 0 || len(r.ForStatus()) != 0 {
+	if r.LeavingCount() != 0 || len(r.ForStatus()) != 0 {
 		t.Errorf("a shutdown that the entry shows is sent: %+v", r.ForStatus())
 	}
 	r.SetTargets([]shelfshelf.Target{second})
@@ -180,11 +180,11 @@
 	r.SetTargets(nil)
 	clock.Advance(9 * time.Minute)
 	r.SetTargets([]shelfshelf.Target{first})
-	if got := r.Latest(key).BackoffUntil.Sub(began); got != 10*time.Minute || r.Resting() != 1 {
-		t.Errorf("backoff of %v, %d targets in backoff", got, r.Resting())
+	if got := r.Latest(key).BackoffUntil.Sub(began); got != 10*time.Minute || r.BackoffCount() != 1 {
+		t.Errorf("backoff of %v, %d targets in backoff", got, r.BackoffCount())
 	}
 	r.SetTargets([]shelfshelf.Target{{Name: name, StartedAt: time.Unix(2, 0)}})
-	if !r.Latest(key).BackoffUntil.IsZero() || r.Resting() != 0 {
+	if !r.Latest(key).BackoffUntil.IsZero() || r.BackoffCount() != 0 {
 		t.Errorf("after a restart: %+v", r.Latest(key))
 	}
 }
--- a/catalog/changes.go
+++ b/catalog/changes.go
@@ -32,7 +32,7 @@
 // can't be found by version, so it clears the recorded changes.
 func (c *Catalog) recordChange(previousVersion uint64, names []shelfshelf.TargetName) {
 	switch {
-	case c.targetsVersion > previousVersion && previousVersion > 0 && shelfshelf.EraOf(previousVersion) == shelfshelf.EraOf(c.targetsVersion):
+	case c.targetsVersion > previousVersion && previousVersion > 0 && shelfshelf.EpochOf(previousVersion) == shelfshelf.EpochOf(c.targetsVersion):
 		c.changes = append(c.changes, listChange{previousVersion: previousVersion, version: c.targetsVersion, names: names})
 		if len(c.changes) > maxChanges {
 			c.changes = slices.Delete(c.changes, 0, len(c.changes)-maxChanges)
--- a/catalog/restore.go
+++ b/catalog/restore.go
@@ -26,7 +26,7 @@
 // older copy. The copy lists targets in an older state, so those that are known to be leaving or removed
 // become suspects for a while. The caller must hold c.mu.
 func (c *Catalog) detectRestore(version uint64, now time.Time) bool {
-	if c.targetsVersion == 0 || shelfshelf.EraOf(version) <= shelfshelf.EraOf(c.targetsVersion) {
+	if c.targetsVersion == 0 || shelfshelf.EpochOf(version) <= shelfshelf.EpochOf(c.targetsVersion) {
 		return false
 	}
 	c.restoredAt = now
@@ -42,7 +42,7 @@
 		}
 	}
 	c.wakeExpiry()
-	c.Log.Info("The source has come back from an older copy.", "era", shelfshelf.EraOf(version), "doubted", len(c.suspects))
+	c.Log.Info("The source has come back from an older copy.", "era", shelfshelf.EpochOf(version), "doubted", len(c.suspects))
 	return true
 }
 
--- a/crashes/detector.go
+++ b/crashes/detector.go
@@ -26,7 +26,7 @@
 type Detector struct {
 	Clock  shelfshelf.Clock
 	Log    *log.Logger
-	Record *Tracker
+	Tracker *Tracker
 	// Dial opens a connection to the target at an address.
 	Dial func(ctx context.Context, address string) error
 	// Lookup returns the current list entry of a target.
@@ -78,7 +78,7 @@
 		d.Log.Info("A target that was leaving has ended under requests.", "target", c.target.Name, "requests", requests)
 		return
 	}
-	id := d.Record.RecordCrash(c.target, requests, c.at)
+	id := d.Tracker.RecordCrash(c.target, requests, c.at)
 	d.Log.Warn("A target has ended under requests.", "target", c.target.Name, "address", c.target.Address,
 		"crash", uint64(id), "requests", requests)
 }
--- a/crashes/detector_test.go
+++ b/crashes/detector_test.go
@@ -40,7 +40,7 @@
 			tracker := newTracker(clock, "a")
 			lookedUp := make(chan struct{})
 			detector := &crashes.Detector{
-				Clock: clock, Log: log.New(io.Discard), Record: tracker,
+				Clock: clock, Log: log.New(io.Discard), Tracker: tracker,
 				Dial: func(context.Context, string) error { return c.reach },
 				Lookup: func(shelfshelf.TargetName) (shelfshelf.Target, bool) {
 					defer func() { lookedUp <- struct{}{} }()
--- a/crashes/saver.go
+++ b/crashes/saver.go
@@ -33,7 +33,7 @@
 type Saver struct {
 	Clock  shelfshelf.Clock
 	Log    *log.Logger
-	Record *Tracker
+	Tracker *Tracker
 	Store  shelfshelf.CrashStore
 	// IsSaver reports whether this instance is in charge of saving.
 	IsSaver func() bool
@@ -77,12 +77,12 @@
 	if !s.loaded.Load() {
 		return nil, shelfshelf.ErrUnavailable
 	}
-	return s.Record.All(), nil
+	return s.Tracker.All(), nil
 }
 
 // CompareHash processes the hash of another instance's crashes.
 func (s *Saver) CompareHash(from shelfshelf.Instance, hash uint64) {
-	same := hash == s.Record.Hash()
+	same := hash == s.Tracker.Hash()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	since, differed := s.mismatchedSince[from.ID]
@@ -113,7 +113,7 @@
 	for ctx.Err() == nil {
 		loaded, err := s.Store.LoadCrashes(ctx)
 		if err == nil || errors.Is(err, shelfshelf.ErrNotFound) {
-			s.Record.Merge(loaded, false)
+			s.Tracker.Merge(loaded, false)
 			s.Log.Info("Loaded the saved crashes of targets.", "crashes", len(loaded))
 			return
 		}
@@ -135,7 +135,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-s.Record.Changed():
+		case <-s.Tracker.Changed():
 			watchUntil = s.Clock.Now().Add(saveWatchTime)
 			s.save(ctx)
 		case <-s.storeLost:
@@ -157,7 +157,7 @@
 	if !s.IsSaver() || now.Sub(s.savedAt) < minSaveInterval {
 		return
 	}
-	suspected := s.Record.CrashesToSave()
+	suspected := s.Tracker.CrashesToSave()
 	hash := hashCrashes(suspected)
 	if hash == s.savedHash {
 		return
@@ -188,5 +188,5 @@
 		s.Log.Warn("Failed to fetch another instance's crashes of targets.", "from", address, "error", err)
 		return
 	}
-	s.Record.Merge(fetched, true)
+	s.Tracker.Merge(fetched, true)
 }
--- a/crashes/saver_test.go
+++ b/crashes/saver_test.go
@@ -49,7 +49,7 @@
 	clock := clockwork.NewRealClock()
 	tracker := newTracker(clock, self)
 	saver := &crashes.Saver{
-		Clock: clock, Log: log.New(io.Discard), Record: tracker, Store: s, IsSaver: func() bool { return isSaver },
+		Clock: clock, Log: log.New(io.Discard), Tracker: tracker, Store: s, IsSaver: func() bool { return isSaver },
 		Fetch: func(context.Context, string) ([]shelfshelf.Crash, error) { return fetch(), nil },
 	}
 	saver.Init()
--- a/engine/client.go
+++ b/engine/client.go
@@ -93,7 +93,7 @@
 	if transport.RefusedStatus(response.StatusCode) {
 		return eris.Wrapf(shelfshelf.ErrNotRun, "engine answered %d: %s", response.StatusCode, text)
 	}
-	return eris.Wrapf(shelfshelf.ErrBroken, "engine answered %d: %s", response.StatusCode, text)
+	return eris.Wrapf(shelfshelf.ErrIncompleteResponse, "engine answered %d: %s", response.StatusCode, text)
 }
 
 // resume goes on with a broken stream on the same engine.
@@ -112,7 +112,7 @@
 			return nil
 		}
 	}
-	return c.abandon(ctx, target, s.id, eris.Wrap(shelfshelf.ErrBroken, cause.Error()))
+	return c.abandon(ctx, target, s.id, eris.Wrap(shelfshelf.ErrIncompleteResponse, cause.Error()))
 }
 
 func (c *Client) resumeOnce(ctx context.Context, target shelfshelf.Target, s *stream) error {
--- a/engine/client_test.go
+++ b/engine/client_test.go
@@ -64,14 +64,14 @@
 			}
 			http.Error(w, "gone", http.StatusNotFound)
 		})
-		So(errors.Is(err, shelfshelf.ErrBroken), ShouldBeTrue)
+		So(errors.Is(err, shelfshelf.ErrIncompleteResponse), ShouldBeTrue)
 		So(posts, ShouldEqual, 1)
 	})
 	Convey("Another request's chunk is refused", t, func() {
 		indexes, err := complete(func(w http.ResponseWriter, r *http.Request) {
 			_, _ = io.WriteString(w, chunk("other", 0, true)+"data: [DONE]\n\n")
 		})
-		So(errors.Is(err, shelfshelf.ErrBroken), ShouldBeTrue)
+		So(errors.Is(err, shelfshelf.ErrIncompleteResponse), ShouldBeTrue)
 		So(indexes, ShouldBeEmpty)
 	})
 	Convey("An engine's own refusal is not run", t, func() {
--- a/entry/crashes_test.go
+++ b/entry/crashes_test.go
@@ -25,7 +25,7 @@
 	server := newServer(t, g, &engines{run: func(_ context.Context, _ shelfshelf.Target, emit func(shelfshelf.EngineChunk) error) error {
 		if deadly {
 			ran++
-			return shelfshelf.ErrBroken
+			return shelfshelf.ErrIncompleteResponse
 		}
 		return emit(chunk(0, "a"))
 	}})
--- a/entry/server_test.go
+++ b/entry/server_test.go
@@ -103,7 +103,7 @@
 	}
 	server.Crashes = &crashes.Tracker{Clock: server.Clock, Log: server.Log}
 	server.Witness = &crashes.Detector{
-		Clock: server.Clock, Log: server.Log, Record: server.Crashes, Lookup: server.Target,
+		Clock: server.Clock, Log: server.Log, Tracker: server.Crashes, Lookup: server.Target,
 		Dial: func(context.Context, string) error { return syscall.ECONNREFUSED },
 	}
 	server.Apply(&bundle.Accepted{Bundle: parsed})
@@ -164,7 +164,7 @@
 		server := newServer(t, g, &engines{run: func(_ context.Context, _ shelfshelf.Target, emit func(shelfshelf.EngineChunk) error) error {
 			runs++
 			_ = emit(chunk(0, "a"))
-			return shelfshelf.ErrBroken
+			return shelfshelf.ErrIncompleteResponse
 		}})
 		answer := post(server, tagBody)
 		So(answer.Code, ShouldEqual, http.StatusBadGateway)
@@ -176,7 +176,7 @@
 		g := &granter{targets: []shelfshelf.TargetName{"regina-m01-1"}}
 		server := newServer(t, g, &engines{run: func(_ context.Context, _ shelfshelf.Target, emit func(shelfshelf.EngineChunk) error) error {
 			_ = emit(chunk(0, "a"))
-			return shelfshelf.ErrBroken
+			return shelfshelf.ErrIncompleteResponse
 		}})
 		answer := post(server, strings.Replace(tagBody, "}", `,"stream":true}`, 1))
 		So(answer.Body.String(), ShouldContainSubstring, "event: error")
@@ -206,7 +206,7 @@
 		for index := 0; index < 10 || endless; index++ {
 			if err := emit(chunk(index, "w")); err != nil || ctx.Err() != nil {
 				close(cancelled)
-				return errors.Join(shelfshelf.ErrBroken, err)
+				return errors.Join(shelfshelf.ErrIncompleteResponse, err)
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
--- a/evacuation/tracker.go
+++ b/evacuation/tracker.go
@@ -67,7 +67,7 @@
 			return slices.Contains(update.Ended, centre)
 		})...)
 	}
-	if t.asOf > 0 && shelfshelf.EraOf(update.AsOf) > shelfshelf.EraOf(t.asOf) {
+	if t.asOf > 0 && shelfshelf.EpochOf(update.AsOf) > shelfshelf.EpochOf(t.asOf) {
 		t.retainMissing(stored)
 	}
 	slices.Sort(stored)
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -28,7 +28,7 @@
 	}
 	timedOut := errors.Is(err, errIdleTimeout) && !c.expired()
 	if timedOut || upstream.ClosedByTarget(err) {
-		c.server.Witness.ResponseBroken(lease.Target, c.fingerprint)
+		c.server.CrashDetector.ResponseBroken(lease.Target, c.fingerprint)
 	}
 }
 
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -58,7 +58,7 @@
 	Retries  *retrybudget.Budget
 	// Crashes records which requests were running when targets crashed. Witness detects such crashes.
 	Crashes *crashes.Tracker
-	Witness *crashes.Detector
+	CrashDetector *crashes.Detector
 	Metrics *Metrics
 	// MaxBufferedBytes limits the bytes buffered over all requests; 0 means unlimited. Request bodies beyond it
 	// are refused. Plain responses count too, but are never refused.
--- a/instance/core.go
+++ b/instance/core.go
@@ -141,7 +141,7 @@
 	c.Members.Crashes = func() []shelfshelf.Crash { return record.Updates(false) }
 	c.Members.CrashesHeard = func(told []shelfshelf.Crash) { record.Merge(told, false) }
 	if c.Reach != nil {
-		c.Server.Witness = &crashes.Detector{Clock: c.Clock, Log: logger, Record: record, Dial: c.Reach, Lookup: c.target}
+		c.Server.Witness = &crashes.Detector{Clock: c.Clock, Log: logger, Tracker: record, Dial: c.Reach, Lookup: c.target}
 	}
 }
 
--- a/node/build.go
+++ b/node/build.go
@@ -84,7 +84,7 @@
 	logger := n.Log.WithPrefix("crashes")
 	n.crashes = &crashes.Tracker{Clock: n.Clock, Log: logger, Self: n.Settings.Instance}
 	n.crashKeeper = &crashes.Saver{
-		Clock: n.Clock, Log: logger, Record: n.crashes, Store: &startCrashes{node: n}, IsSaver: n.leads,
+		Clock: n.Clock, Log: logger, Tracker: n.crashes, Store: &startCrashes{node: n}, IsSaver: n.leads,
 		Fetch: func(ctx context.Context, address string) ([]shelfshelf.Crash, error) {
 			return n.relay.FetchCrashes(ctx, address)
 		},
@@ -95,12 +95,12 @@
 		n.upstream.Dial = n.Sockets.Dial
 	}
 	n.witness = &crashes.Detector{
-		Clock: n.Clock, Log: logger, Record: n.crashes, Dial: n.upstream.Preconnect, Lookup: n.target,
+		Clock: n.Clock, Log: logger, Tracker: n.crashes, Dial: n.upstream.Preconnect, Lookup: n.target,
 	}
 	n.metrics.Gauge("shelf_data_centres_evacuated", func() float64 { return float64(n.evacuations.Count()) })
-	n.metrics.Gauge("shelf_targets_limited", func() float64 { return float64(n.words.Limited()) })
-	n.metrics.Gauge("shelf_targets_leaving", func() float64 { return float64(n.words.Leaving()) })
-	n.metrics.Gauge("shelf_targets_resting", func() float64 { return float64(n.words.Resting()) })
+	n.metrics.Gauge("shelf_targets_limited", func() float64 { return float64(n.words.LimitedCount()) })
+	n.metrics.Gauge("shelf_targets_leaving", func() float64 { return float64(n.words.LeavingCount()) })
+	n.metrics.Gauge("shelf_targets_resting", func() float64 { return float64(n.words.BackoffCount()) })
 	n.metrics.Gauge("shelf_requests_held_back", func() float64 { return float64(n.crashes.QuarantinedCount()) })
 }
 
@@ -143,7 +143,7 @@
 		Balancer: n.balancer,
 		Upstream: n.upstream,
 		Crashes:  n.crashes,
-		Witness:  n.witness,
+		CrashDetector:  n.witness,
 		Quota:    n.quota,
 		Retries: &retrybudget.Budget{
 			Clock:     n.Clock,
--- a/position.go
+++ b/position.go
@@ -15,8 +15,8 @@
 	return epoch<<epochShift | VersionOf(version)
 }
 
-// EraOf returns the epoch of a position.
-func EraOf(position uint64) uint64 { return position >> epochShift }
+// EpochOf returns the epoch of a position.
+func EpochOf(position uint64) uint64 { return position >> epochShift }
 
 // VersionOf returns the store's own version number in a position.
 func VersionOf(position uint64) uint64 { return position & (1<<epochShift - 1) }
--- a/rollout/codec.go
+++ b/rollout/codec.go
@@ -40,13 +40,13 @@
 
 // Report is what one incarnation of an instance has counted.
 type Report struct {
-	Life     InstanceRun
+	Run     InstanceRun
 	Evidence []Evidence
 }
 
 // EncodeReport encodes a report for another instance.
 func EncodeReport(report Report) ([]byte, error) {
-	wire := wireReport{Instance: string(report.Life.Instance), Incarnation: report.Life.Incarnation}
+	wire := wireReport{Instance: string(report.Run.Instance), Incarnation: report.Run.Incarnation}
 	for _, evidence := range report.Evidence {
 		entry := wireEvidence{
 			Pool: string(evidence.Pool), Revision: evidence.Revision, All: evidence.Sent.All, New: evidence.Sent.New,
@@ -80,7 +80,7 @@
 	if wire.Instance == "" {
 		return Report{}, eris.New("decode rollout report: instance is missing")
 	}
-	report := Report{Life: InstanceRun{Instance: shelfshelf.InstanceID(wire.Instance), Incarnation: wire.Incarnation}}
+	report := Report{Run: InstanceRun{Instance: shelfshelf.InstanceID(wire.Instance), Incarnation: wire.Incarnation}}
 	for _, entry := range wire.Orders {
 		evidence := Evidence{
 			Pool: shelfshelf.PoolName(entry.Pool), Revision: entry.Revision, Sent: SentCounts{All: entry.All, New: entry.New},
--- a/rollout/controller.go
+++ b/rollout/controller.go
@@ -93,7 +93,7 @@
 
 // Report returns the counts of this instance.
 func (c *Controller) Report() Report {
-	return Report{Life: c.Self, Evidence: c.Tracker.Evidence()}
+	return Report{Run: c.Self, Evidence: c.Tracker.Evidence()}
 }
 
 // Run evaluates rollouts and records their progress until the context ends. It is idle while none is
@@ -205,7 +205,7 @@
 	increments := make(map[CellKey]*ResultCounts)
 	for _, report := range reports {
 		evidence := report.evidenceFor(rollout)
-		p.drainedInstances[report.Life.Instance] = evidence != nil && evidence.OldTrafficStopped && evidence.OldRunning == 0
+		p.drainedInstances[report.Run.Instance] = evidence != nil && evidence.OldTrafficStopped && evidence.OldRunning == 0
 		if evidence == nil || !evidence.OldTrafficStopped {
 			p.sendingToOld++
 		}
@@ -215,7 +215,7 @@
 		}
 		p.oldRunning += evidence.OldRunning
 		p.newRunning += evidence.NewRunning
-		for name, cell := range p.merger.Add(report.Life, *evidence) {
+		for name, cell := range p.merger.Add(report.Run, *evidence) {
 			if increments[name] == nil {
 				increments[name] = &ResultCounts{}
 			}
--- a/rollout/restore.go
+++ b/rollout/restore.go
@@ -19,7 +19,7 @@
 // one that the tracked rollout had replaced and that the copy still contains, stale is true. The caller
 // must hold the mutex of the Tracker.
 func (tracked *trackedRollout) adoptRestored(rollout shelfshelf.Rollout) (changed, stale bool) {
-	if shelfshelf.EraOf(rollout.Revision) <= shelfshelf.EraOf(tracked.rollout.Revision) {
+	if shelfshelf.EpochOf(rollout.Revision) <= shelfshelf.EpochOf(tracked.rollout.Revision) {
 		return false, false
 	}
 	if slices.ContainsFunc(tracked.replaced, func(replaced shelfshelf.Rollout) bool { return sameRow(replaced, rollout) }) {
--- a/rollout/sim_test.go
+++ b/rollout/sim_test.go
@@ -229,7 +229,7 @@
 				unreachable++
 				continue
 			}
-			reports = append(reports, Report{Life: InstanceRun{Instance: shelfshelf.InstanceID(fmt.Sprint(i)), Incarnation: sim.incarnations[i]}, Evidence: tracker.Evidence()})
+			reports = append(reports, Report{Run: InstanceRun{Instance: shelfshelf.InstanceID(fmt.Sprint(i)), Incarnation: sim.incarnations[i]}, Evidence: tracker.Evidence()})
 		}
 		sim.controller.evaluateAll(context.Background(), active, reports, unreachable, true)
 		if t := sim.controller.progress["p"]; t != nil {
--- a/rollout/tracker_test.go
+++ b/rollout/tracker_test.go
@@ -285,7 +285,7 @@
 }
 
 func FuzzDecodeReport(f *testing.F) {
-	report := Report{Life: InstanceRun{Instance: "n", Incarnation: 3}, Evidence: []Evidence{{
+	report := Report{Run: InstanceRun{Instance: "n", Incarnation: 3}, Evidence: []Evidence{{
 		Pool: "p", Revision: 4, Sent: SentCounts{All: 5, New: 1}, OldTrafficStopped: true, OldRunning: 2,
 		Cells: map[CellKey]*ResultCounts{{Route: "r", Target: "t"}: {Answers: 3, Failed: 1}},
 	}}}
--- a/service/client.go
+++ b/service/client.go
@@ -25,7 +25,7 @@
 }
 
 // Call runs a call once. The answer must name the request it belongs to and be
-// whole, else the error is ErrBroken.
+// whole, else the error is ErrIncompleteResponse.
 func (c *Client) Call(ctx context.Context, target shelfshelf.Target, call shelfshelf.ServiceCall) (shelfshelf.ServiceAnswer, error) {
 	header := call.Header.Clone()
 	if header == nil {
@@ -42,13 +42,13 @@
 		return shelfshelf.ServiceAnswer{}, eris.Wrapf(shelfshelf.ErrNotRun, "service answered %d", response.StatusCode)
 	}
 	if err != nil {
-		return shelfshelf.ServiceAnswer{}, eris.Wrapf(shelfshelf.ErrBroken, "answer broke off: %v", err)
+		return shelfshelf.ServiceAnswer{}, eris.Wrapf(shelfshelf.ErrIncompleteResponse, "answer broke off: %v", err)
 	}
 	if len(body) > maxAnswerBytes {
-		return shelfshelf.ServiceAnswer{}, eris.Wrapf(shelfshelf.ErrBroken, "answer is longer than %d bytes", maxAnswerBytes)
+		return shelfshelf.ServiceAnswer{}, eris.Wrapf(shelfshelf.ErrIncompleteResponse, "answer is longer than %d bytes", maxAnswerBytes)
 	}
 	if echoed := response.Header.Get(transport.HeaderRequestID); echoed != string(call.ID) {
-		return shelfshelf.ServiceAnswer{}, eris.Wrapf(shelfshelf.ErrBroken, "answer belongs to %q, not to %q", echoed, call.ID)
+		return shelfshelf.ServiceAnswer{}, eris.Wrapf(shelfshelf.ErrIncompleteResponse, "answer belongs to %q, not to %q", echoed, call.ID)
 	}
 	return shelfshelf.ServiceAnswer{Status: response.StatusCode, Header: response.Header, Body: body}, nil
 }
--- a/target.go
+++ b/target.go
@@ -13,8 +13,8 @@
 // no other target would accept it. It is always joined with ErrNotRun.
 var ErrRejected = errors.New("request rejected by the target")
 
-// ErrBroken means that the response is incomplete and the request may have run.
-var ErrBroken = errors.New("answer broken off")
+// ErrIncompleteResponse means that the response is incomplete and the request may have run.
+var ErrIncompleteResponse = errors.New("answer broken off")
 
 // CompletionCall is a model request as sent to an engine.
 type CompletionCall struct {
@@ -44,7 +44,7 @@
 type EngineClient interface {
 	// Complete runs a call and passes each chunk of the response to emit, in order and exactly once. It
 	// returns nil only if the response was complete, ErrNotRun if the engine did not run the call, and
-	// otherwise ErrBroken; the errors may be wrapped.
+	// otherwise ErrIncompleteResponse; the errors may be wrapped.
 	Complete(ctx context.Context, target Target, call CompletionCall, emit func(EngineChunk) error) error
 	// Load returns the engine's load report.
 	Load(ctx context.Context, target Target) (LoadReport, error)
@@ -73,6 +73,6 @@
 
 // ServiceClient sends requests to plain services.
 type ServiceClient interface {
-	// Call runs a call once; errors are ErrNotRun or ErrBroken, as for engines.
+	// Call runs a call once; errors are ErrNotRun or ErrIncompleteResponse, as for engines.
 	Call(ctx context.Context, target Target, call ServiceCall) (ServiceAnswer, error)
 }
--- a/test/history/targets_test.go
+++ b/test/history/targets_test.go
@@ -56,7 +56,7 @@
 		return shelfshelf.ServiceAnswer{}, err
 	}
 	if t.node.world.wait(ctx, t.span(target.Name, callTime)) != nil || t.node.world.mishap(1) || t.node.gate(ctx) != nil {
-		return shelfshelf.ServiceAnswer{}, shelfshelf.ErrBroken
+		return shelfshelf.ServiceAnswer{}, shelfshelf.ErrIncompleteResponse
 	}
 	return shelfshelf.ServiceAnswer{Status: 200, Body: []byte(answerOf(target.Name, call.ID))}, nil
 }
@@ -70,14 +70,14 @@
 	third := len(text) / 3
 	for index, part := range []string{text[:third], text[third : 2*third], text[2*third:]} {
 		if t.node.world.wait(ctx, t.span(target.Name, tokenTime)) != nil || t.node.gate(ctx) != nil {
-			return shelfshelf.ErrBroken
+			return shelfshelf.ErrIncompleteResponse
 		}
 		if t.node.world.mishap(1.0 / 3) {
-			return shelfshelf.ErrBroken
+			return shelfshelf.ErrIncompleteResponse
 		}
 		data := fmt.Sprintf(`{"id":%q,"choices":[{"index":0,"text":%q,"finish_reason":null}]}`, call.ID, part)
 		if err := emit(shelfshelf.EngineChunk{Index: index, Data: []byte(data), Tokens: 1}); err != nil {
-			return shelfshelf.ErrBroken
+			return shelfshelf.ErrIncompleteResponse
 		}
 	}
 	return nil
--- a/transport/transport.go
+++ b/transport/transport.go
@@ -57,7 +57,7 @@
 }
 
 // RoundTrip sends the request once. An error is ErrNotRun if not a byte of it
-// was written to the target, else ErrBroken.
+// was written to the target, else ErrIncompleteResponse.
 func (o *Once) RoundTrip(ctx context.Context, method, url string, header http.Header, body []byte) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, method, url, nil)
 	if err != nil {
@@ -89,7 +89,7 @@
 	if used == nil || used.written.Load() == before {
 		return nil, eris.Wrap(shelfshelf.ErrNotRun, err.Error())
 	}
-	return nil, eris.Wrap(shelfshelf.ErrBroken, err.Error())
+	return nil, eris.Wrap(shelfshelf.ErrIncompleteResponse, err.Error())
 }
 
 // countingConn counts the bytes handed to the kernel, whether or not all of a
--- a/transport/transport_test.go
+++ b/transport/transport_test.go
@@ -72,7 +72,7 @@
 			if err := send(); err != nil {
 				t.Fatal(err)
 			}
-			if err := send(); !errors.Is(err, shelfshelf.ErrBroken) {
+			if err := send(); !errors.Is(err, shelfshelf.ErrIncompleteResponse) {
 				t.Errorf("the cut request ended with %v", err)
 			}
 			if got := server.requests.Load(); got != 2 {
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -101,7 +101,7 @@
 }
 
 // Send sends a request to an address and returns once the head of the response has been read. The error
-// is ErrNotRun if no connection could be opened, so that nothing was sent, and ErrBroken otherwise.
+// is ErrNotRun if no connection could be opened, so that nothing was sent, and ErrIncompleteResponse otherwise.
 func (c *Client) Send(ctx context.Context, address string, request Request) (*Response, error) {
 	connection, err := c.acquire(ctx, address, request.NewConnection)
 	if err != nil {
--- a/upstream/client_test.go
+++ b/upstream/client_test.go
@@ -197,7 +197,7 @@
 func TestOnlyUnmatchedResponsesFail(t *testing.T) {
 	s := startServer(t, func(_, _ int, _ string) (string, bool) { return okResponse("other", "wrong"), false })
 	client := newClient()
-	if body, err := send(context.Background(), client, s.address(), "r"); !errors.Is(err, shelfshelf.ErrBroken) {
+	if body, err := send(context.Background(), client, s.address(), "r"); !errors.Is(err, shelfshelf.ErrIncompleteResponse) {
 		t.Fatal(body, err)
 	}
 }
@@ -265,7 +265,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	began := time.Now()
 	time.AfterFunc(50*time.Millisecond, cancel)
-	if _, err := send(ctx, newClient(), listener.Addr().String(), "r"); !errors.Is(err, shelfshelf.ErrBroken) {
+	if _, err := send(ctx, newClient(), listener.Addr().String(), "r"); !errors.Is(err, shelfshelf.ErrIncompleteResponse) {
 		t.Fatal(err)
 	}
 	if at := <-closed; at.Sub(began) > time.Second {
--- a/upstream/errors.go
+++ b/upstream/errors.go
@@ -13,14 +13,14 @@
 	cause error
 }
 
-// Error returns the text of the cause, followed by that of ErrBroken.
+// Error returns the text of the cause, followed by that of ErrIncompleteResponse.
 func (e *brokenError) Error() string {
-	return e.cause.Error() + ": " + shelfshelf.ErrBroken.Error()
+	return e.cause.Error() + ": " + shelfshelf.ErrIncompleteResponse.Error()
 }
 
-// Unwrap makes the error match both ErrBroken and its cause.
+// Unwrap makes the error match both ErrIncompleteResponse and its cause.
 func (e *brokenError) Unwrap() []error {
-	return []error{shelfshelf.ErrBroken, e.cause}
+	return []error{shelfshelf.ErrIncompleteResponse, e.cause}
 }
 
 // ClosedByTarget reports whether a round trip failed because the target closed or reset the connection.
