--- a/crashes/detector.go
+++ b/crashes/detector.go
@@ -24,8 +24,8 @@
 // off while the target keeps running, which says nothing about the request. Set the exported fields
 // before use. It is safe for concurrent use.
 type Detector struct {
-	Clock  shelfshelf.Clock
-	Log    *log.Logger
+	Clock   shelfshelf.Clock
+	Log     *log.Logger
 	Tracker *Tracker
 	// Dial opens a connection to the target at an address.
 	Dial func(ctx context.Context, address string) error
--- a/crashes/saver.go
+++ b/crashes/saver.go
@@ -31,10 +31,10 @@
 // Saver saves the known crashes in a store, so that it survives restarts, and keeps it equal on all
 // instances. Set the exported fields before Run.
 type Saver struct {
-	Clock  shelfshelf.Clock
-	Log    *log.Logger
+	Clock   shelfshelf.Clock
+	Log     *log.Logger
 	Tracker *Tracker
-	Store  shelfshelf.CrashStore
+	Store   shelfshelf.CrashStore
 	// IsSaver reports whether this instance is in charge of saving.
 	IsSaver func() bool
 	// Fetch fetches all crashes known to the instance at an address.
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -50,10 +50,10 @@
 	run func(context.Context) error
 }
 
-// ErrIncompleteResponse means that something that must always hold did not.
+// ErrBroken means that something that must always hold did not.
 var ErrBroken = eris.New("a promise was broken")
 
-// Run runs the demo and prints its tables. The error is ErrIncompleteResponse if a promise
+// Run runs the demo and prints its tables. The error is ErrBroken if a promise
 // was broken.
 func (d *Demo) Run(ctx context.Context) error {
 	if err := d.start(ctx); err != nil {
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -57,9 +57,9 @@
 	Quota    *quota.Ledger
 	Retries  *retrybudget.Budget
 	// Crashes records which requests were running when targets crashed. Witness detects such crashes.
-	Crashes *crashes.Tracker
+	Crashes       *crashes.Tracker
 	CrashDetector *crashes.Detector
-	Metrics *Metrics
+	Metrics       *Metrics
 	// MaxBufferedBytes limits the bytes buffered over all requests; 0 means unlimited. Request bodies beyond it
 	// are refused. Plain responses count too, but are never refused.
 	MaxBufferedBytes int64
--- a/node/build.go
+++ b/node/build.go
@@ -136,15 +136,15 @@
 // buildGateway makes the part that carries requests, with its metrics.
 func (n *Node) buildGateway() {
 	n.gateway = &gateway.Server{
-		Clock:    n.Clock,
-		Log:      n.Log.WithPrefix("gateway"),
-		Codec:    n.Platform.Codec,
-		Catalog:  n.catalog,
-		Balancer: n.balancer,
-		Upstream: n.upstream,
-		Crashes:  n.crashes,
-		CrashDetector:  n.witness,
-		Quota:    n.quota,
+		Clock:         n.Clock,
+		Log:           n.Log.WithPrefix("gateway"),
+		Codec:         n.Platform.Codec,
+		Catalog:       n.catalog,
+		Balancer:      n.balancer,
+		Upstream:      n.upstream,
+		Crashes:       n.crashes,
+		CrashDetector: n.witness,
+		Quota:         n.quota,
 		Retries: &retrybudget.Budget{
 			Clock:     n.Clock,
 			Limits:    n.Settings.Retry,
--- a/rollout/codec.go
+++ b/rollout/codec.go
@@ -40,7 +40,7 @@
 
 // Report is what one incarnation of an instance has counted.
 type Report struct {
-	Run     InstanceRun
+	Run      InstanceRun
 	Evidence []Evidence
 }
 
